--- a/packages/core/include/sycamorelock/core/direct/router.hpp
+++ b/packages/core/include/sycamorelock/core/direct/router.hpp
@@ -1,5 +1,6 @@
-// Decides for each request of this instance where it goes, or why not. Each
-// instance decides by itself from the exchanged state of all.
+// Chooses an endpoint for each request of this instance, or refuses the
+// request with a reason. Each instance decides on its own, from the state that
+// all instances exchange.
 #pragma once
 
 #include "sycamorelock/core/direct/account_shares.hpp"
@@ -29,25 +30,28 @@
 namespace sycamorelock::core::direct
 {
 
-/// What the decision needs to know of a request.
+/// Properties of a request that the routing decision depends on.
 struct request_profile
 {
     const route* way = nullptr;
     std::optional<account_id> account;
-    /// Prompt in order; empty for plain services.
+    /// Parts of the prompt, in order; empty for requests to plain services.
     std::vector<prompt_part> parts;
     double prompt_tokens = 0;
     double output_tokens = 0;
     time_point arrived;
-    /// When the caller stops waiting.
+    /// Time at which the caller gives up.
     time_point deadline;
-    /// How the account stood when the request came.
+    /// Consumption of the client account relative to its share when the
+    /// request arrived.
     account_standing standing;
-    /// The only release that may go on with the stream; none: any may begin.
+    /// Release that must continue the stream of a resumed request; empty for a
+    /// new request, which any release may serve.
     std::optional<release_id> release;
 
-    /// Tokens that count against the share of the account: generated ones cost
-    /// about twice as much as those that are read.
+    /// Tokens charged against the client account's share. A generated token
+    /// costs an engine about twice as much as a prompt token, so it counts
+    /// twice.
     [[nodiscard]] double share_tokens() const
     {
         return prompt_tokens + 2 * output_tokens;
@@ -58,48 +62,56 @@
 {
     /// No endpoint of the service is known or usable.
     no_endpoint,
-    /// Operators drain the failure domains of all endpoints that do not leave.
+    /// Operators drain the failure domains of all endpoints of the service
+    /// that are not leaving.
     drained,
-    /// All endpoints that do not leave have asked for rest.
+    /// All endpoints of the service that are not leaving have requested
+    /// back-off.
     resting,
-    /// All usable endpoints warm up and have got what they may get of this
-    /// instance.
+    /// All usable endpoints are warming up and have received this instance's
+    /// quota.
     warming_up,
-    /// The first token would come too late.
+    /// The predicted wait is longer than the objective of the service allows.
     overloaded,
-    /// The account asks for more than its share of a busy pool.
+    /// The client account demands more than its share of a busy pool.
     beyond_share,
-    /// No time is left.
+    /// The deadline of the request has passed.
     too_late,
-    /// A stream is resumed, and nobody who can be reached knows its release.
+    /// The request resumes a stream, and no reachable instance knows the
+    /// release that began it.
     release_unknown,
-    /// No endpoint of the stream's release is listed that does not leave.
+    /// No listed endpoint runs the release of the stream, or all that do are
+    /// leaving.
     release_gone,
-    /// This instance may end before the request does.
+    /// This instance is shutting down and may exit before the request
+    /// completes.
     instance_ends,
 };
 std::string_view to_string(refusal reason);
 
-/// The endpoint for one attempt, with what decided it.
+/// The endpoint chosen for one attempt, with the inputs of the choice.
 struct placement_decision
 {
     endpoint_record endpoint;
-    /// That of the endpoint, which takes a digest to make.
+    /// Release of `endpoint`. Kept because computing it takes a digest.
     release_id release;
     double predicted_ms = 0;
-    /// Tokens that need not be read, with those that are fetched.
+    /// Prompt tokens that need no prefill: those in the endpoint's KV cache
+    /// and those fetched from another engine.
     double cached_tokens = 0;
     double wait_ms = 0;
-    /// Observed over predicted time of the endpoint, when it was chosen.
+    /// Slowdown factor (observed over predicted time) of the endpoint when it
+    /// was chosen.
     double slowness = 1;
     std::optional<fetch_plan> fetch;
     load_ledger::hold hold;
-    /// When it began to hold a slot: before its connection stands.
+    /// Time at which the attempt began to occupy a slot, before its connection
+    /// is established.
     time_point sent;
-    /// It counts among those that were chosen for an endpoint that warms up
-    /// and are not sent yet.
+    /// Whether the attempt is counted in the requests that are reserved at a
+    /// warming endpoint and not yet sent.
     bool reserved = false;
-    /// It tries an endpoint in the rest of a long rest.
+    /// Whether the attempt probes an endpoint during a long back-off.
     bool is_trial = false;
 };
 
@@ -108,7 +120,7 @@
     refusal reason = refusal::no_endpoint;
     milliseconds retry_after{0};
     double wait_ms = 0;
-    /// The wait beyond which the request is refused.
+    /// Wait, in ms, above which the request is refused.
     double allowed_ms = 0;
 };
 
@@ -118,9 +130,9 @@
 enum class attempt_outcome : std::uint8_t
 {
     succeeded,
-    /// The endpoint failed it; it may have run.
+    /// The endpoint failed the request, which may have been executed.
     failed,
-    /// The endpoint declined it; it has not run.
+    /// The endpoint declined the request, which was not executed.
     declined,
     unreachable,
     abandoned,
@@ -129,36 +141,38 @@
 /// Why a request is not sent to the endpoint that was chosen for it.
 enum class withheld_reason : std::uint8_t
 {
-    /// The endpoint's entry is gone.
+    /// The endpoint is no longer listed.
     gone,
-    /// The endpoint leaves.
+    /// The endpoint is leaving.
     leaving,
-    /// The endpoint has asked for rest.
+    /// The endpoint has requested back-off.
     resting,
-    /// Operators drain the endpoint's failure domain.
+    /// Operators drain the failure domain of the endpoint.
     drained,
-    /// The endpoint warms up and has got what it may get of this instance.
+    /// The endpoint is warming up and has received this instance's quota.
     warming_up,
-    /// The endpoint's entry tells of another release by now.
+    /// The entry of the endpoint now names another release.
     other_release,
 };
 std::string_view to_string(withheld_reason reason);
 
-/// Where a stream that a caller resumes may go on.
+/// Service and release that may continue a stream that a caller resumes.
 struct stream_resolution
 {
     stream_source source = stream_source::unknown;
-    /// That of the stream, one of its route's; with `release` if it is known.
+    /// Service of the stream, one of the targets of its route. Set if
+    /// `release` is known.
     service_id service;
     std::optional<release_id> release;
 };
 
-/// What operators let an endpoint get in any second while it warms up.
+/// Tolerance on the number of requests that an endpoint may receive in any
+/// second while it warms up.
 struct warmup_bounds
 {
-    /// As a multiple of what its service states.
+    /// Multiple of the rate that the service configures.
     double overrun = 1;
-    /// A number more.
+    /// Requests allowed in addition.
     double slack = 0;
 };
 
@@ -166,43 +180,49 @@
 {
     instance_id self;
     domain_id domain;
-    /// Failure domains of the fleet, as far as settings name them.
+    /// Failure domains of the fleet that are named in the settings.
     std::set<domain_id> domains;
     warmup_bounds warmup;
     std::uint64_t seed = 1;
-    /// Share of requests that may be sent a second time, over the fleet.
+    /// Fraction of requests, over the whole fleet, that may be retried.
     double retry_ratio = 0.2;
-    /// Requests more than that, over the fleet and the window of the rule.
+    /// Retries allowed in addition, over the whole fleet and the window of the
+    /// rule.
     double retry_slack = 50;
     mechanism_set mechanisms;
 };
 
+/// Keeps the state that routing decisions depend on and makes the decisions.
 class router
 {
   public:
     explicit router(router_options options);
 
+    /// Replaces the configuration.
     void install(time_point now, std::shared_ptr<const catalogue> newer);
     [[nodiscard]] const std::shared_ptr<const catalogue>& config() const
     {
         return config_;
     }
+    /// Replaces the listing of endpoints.
     void set_endpoints(time_point now,
                        const std::map<std::string, endpoint_record>& all);
-    /// Failure domains that operators drain: nothing new goes to their
-    /// endpoints, whatever way it would take.
-    /// \param ended those that were taken back: their endpoints may be cold.
+    /// Sets the failure domains that operators drain. Their endpoints receive
+    /// no new requests, on any route.
+    /// \param ended drains that were withdrawn; endpoints of these domains may
+    /// have cold caches.
     void set_drained(time_point now, const std::set<domain_id>& domains,
                      std::span<const domain_drain> ended);
-    /// Instances that may send requests, without this one.
+    /// Sets the other instances that may send requests.
     void set_members(time_point now, const std::vector<fleet_member>& members)
     {
-        parts_.set_members(now, members);
+        warmup_allowances_.set_members(now, members);
     }
-    /// Endpoints that warm up, as another instance knows.
+    /// Processes another instance's notices of warming endpoints.
     void on_warming(time_point now, std::span<const warming_notice> notices);
     void set_warmup_bounds(warmup_bounds bounds) { options_.warmup = bounds; }
-    /// Endpoints that warm up.
+    /// Number of endpoints whose requests this instance limits because they
+    /// are warming up.
     [[nodiscard]] std::size_t warming(time_point now) const;
     [[nodiscard]] bool knows(endpoint_id endpoint) const
     {
@@ -210,110 +230,133 @@
     }
     [[nodiscard]] bool has_endpoints() const { return !endpoints_.empty(); }
 
-    /// Notes a new request: earns retries, checks the account's share.
-    void admit(time_point now, request_profile& asked);
+    /// Registers a new request: credits the retry budgets of its services and
+    /// stores the standing of the client account in `request`.
+    void admit(time_point now, request_profile& request);
 
-    /// Chooses an endpoint that is not in `tried`. For a repeated attempt
-    /// nothing is refused for load.
-    routing_decision decide(time_point now, request_profile& asked,
-                            service_id service,
+    /// Chooses an endpoint that is not in `tried`. A repeated attempt is never
+    /// refused because of load.
+    routing_decision decide(time_point now, request_profile& request,
+                            service_id target_service,
                             const std::set<endpoint_id>& tried, bool repeated);
 
-    /// Draws the service of a request by the weights of its route.
+    /// Picks one of the route's services at random, by the weights of its
+    /// targets.
     service_id pick_service(const route& way);
 
-    /// Whether what has become known of an endpoint since it was chosen forbids
-    /// to send the request. To be asked right before the first byte.
+    /// Returns why the request must not be sent to the chosen endpoint after
+    /// all, given what has been learned since the choice. To be called right
+    /// before the first byte is written.
     [[nodiscard]] std::optional<withheld_reason>
-    withheld(time_point now, const placement_decision& at) const;
-    /// The same for the engine that a prompt's memory is fetched from.
+    withheld(time_point now, const placement_decision& placement) const;
+    /// Whether the source engine of a planned KV cache fetch may still be
+    /// used.
     [[nodiscard]] bool may_fetch(time_point now, const fetch_plan& plan) const;
 
-    /// An endpoint said in an answer that it leaves. Returns whether that is
-    /// new.
+    /// Records that an endpoint announced in a response that it is leaving.
+    /// Returns whether this was unknown before.
     bool note_leaving(time_point now, const endpoint_record& from);
-    /// An endpoint turned a request away and wants none for a time.
+    /// Records that an endpoint declined a request and requested back-off for
+    /// a time.
     void note_rest(time_point now, const endpoint_record& from,
-                   milliseconds asked);
-    /// After which time a caller that could not be served may come back, if all
-    /// endpoints of the service that do not leave rest: each caller after
-    /// another one, and not before the first rest ends.
+                   milliseconds requested);
+    /// Retry delay for a caller whose request cannot be served, if all
+    /// endpoints of the service that are neither leaving nor drained have
+    /// requested back-off. The delay is randomised per caller and never ends
+    /// before the first back-off does.
     [[nodiscard]] std::optional<milliseconds> rest_pause(time_point now,
                                                          service_id service);
 
-    /// Up to when the endpoints known here were right.
+    /// Sets the time up to which the endpoint listing is known to be correct.
     void set_endpoints_current(time_point now, time_point at)
     {
         streams_.set_current(now, at);
     }
-    /// Finds out where a stream may go on.
-    /// \param key of the caller's attempt that began it; none if the caller
-    /// named none.
+    /// Finds the service and release that may continue a stream.
+    /// \param key key of the attempt that began the stream; empty if the
+    /// caller sent none.
     [[nodiscard]] stream_resolution resolve(time_point now,
                                             std::optional<stream_key> key,
                                             const route& way) const;
-    /// A stream that callers may resume is sent to an endpoint.
-    /// \param attempt its number, from 1.
+    /// Records that a resumable stream is sent to an endpoint.
+    /// \param attempt number of the attempt, from 1.
     void note_stream(time_point now, stream_key key,
-                     const placement_decision& at, unsigned attempt);
-    /// A resumed stream is sent to an endpoint of its release.
-    /// \param key of the attempt that began it.
+                     const placement_decision& placement, unsigned attempt);
+    /// Records that a resumed stream is sent to an endpoint of its release.
+    /// \param key key of the attempt that began the stream.
     void note_resumed(time_point now, stream_key key,
-                      const placement_decision& at);
-    /// The caller has got all of a stream.
+                      const placement_decision& placement);
+    /// Records that the caller has received the whole stream.
     void end_stream(time_point now, stream_key key) { streams_.end(now, key); }
-    /// Streams of other instances.
-    void on_streams(time_point now, std::span<const stream_note> told)
+    /// Processes notes of streams from another instance.
+    void on_streams(time_point now, std::span<const stream_note> received)
     {
-        streams_.hear(now, told);
+        streams_.hear(now, received);
     }
-    /// What is known of streams, for an instance that has started; nothing if
-    /// that is too little.
-    /// \param has_started the one who asks lacks all streams; else releases.
+    /// Returns the known streams and releases for an instance that requests a
+    /// copy; empty if this instance knows too little itself.
+    /// \param has_started whether the requesting instance has just started and
+    /// lacks all streams; otherwise it lacks only releases.
     [[nodiscard]] std::optional<stream_copy>
     copy_streams(time_point now, bool has_started) const
     {
         return streams_.copy(now, has_started);
     }
-    /// Tells the others once more of the streams of this instance.
+    /// Queues the notes of this instance's streams for another transmission.
     void retell_streams() { streams_.retell(); }
-    /// Refuses to go on with a stream whose release is not known.
+    /// Refuses to resume a stream whose release is unknown.
     refusal_decision refuse_unknown_release();
-    /// Takes over what another instance knew of them.
+    /// Merges a copy of streams and releases from another instance.
     void adopt_streams(time_point now, const stream_copy& known)
     {
         streams_.adopt(now, known);
     }
     [[nodiscard]] const stream_releases& streams() const { return streams_; }
 
-    /// Takes a repeat from the budget; false if it is spent.
+    /// Takes one retry from the budget; returns false if the budget is
+    /// exhausted.
     bool spend_retry(service_id service);
 
-    void sent(time_point now, const request_profile& asked,
-              placement_decision& at);
-    /// The first bytes of the request were just written.
-    void written(time_point now, placement_decision& at);
-    void first_token(time_point now, const request_profile& asked,
-                     placement_decision& at, time_point sent);
-    void finished(time_point now, placement_decision& at,
+    /// Records that an attempt starts at its endpoint. Every attempt that is
+    /// started must end with a call of `finished`.
+    void sent(time_point now, const request_profile& request,
+              placement_decision& placement);
+    /// Records that the first bytes of the request have been written.
+    void written(time_point now, placement_decision& placement);
+    /// Records the first token, and updates the learned engine figures and the
+    /// slowdown factor.
+    /// \param sent time at which the request was sent.
+    void first_token(time_point now, const request_profile& request,
+                     placement_decision& placement, time_point sent);
+    /// Records the end of an attempt and frees the work that it held.
+    void finished(time_point now, placement_decision& placement,
                   attempt_outcome outcome);
 
+    /// Processes a report from another instance.
     void on_report(time_point now, const exchange_report& report);
-    /// Notes what engines read of requests of other instances.
+    /// Processes notes of the prompts that other instances have sent to
+    /// engines.
     void on_notes(time_point now, std::span<const cache_note> notes);
-    /// What is known of the engines' caches, for an instance that has started.
+    /// Returns the estimated contents of the engines' KV caches, for an
+    /// instance that has started.
     [[nodiscard]] std::vector<cache_note> copy_caches(time_point now) const;
-    /// Takes over what another instance knew of them.
+    /// Merges another instance's estimate of the engines' KV caches.
     void adopt_caches(std::span<const cache_note> known);
+    /// Drops the open work reported by an instance.
     void forget_instance(instance_id gone) { ledger_.forget_instance(gone); }
-    /// This instance's part of the exchange since the previous call.
+    /// Fills in the state to report to other instances, with all events since
+    /// the previous call.
     void fill_report(time_point now, exchange_report& report);
-    /// Whether the others should be told at once of what was sent.
-    [[nodiscard]] bool report_is_urgent() const { return urgent_; }
+    /// Whether the report must be sent immediately instead of at its next
+    /// period.
+    [[nodiscard]] bool report_is_urgent() const { return report_is_urgent_; }
+    /// Sets the number of instances; only a larger number than before has an
+    /// effect.
     void set_fleet_size(std::size_t instances);
-    /// Whether news of other instances comes by way of aggregators, and late.
+    /// Whether reports of other instances arrive through aggregators, with
+    /// additional delay.
     [[nodiscard]] bool large_fleet() const { return large_fleet_; }
-    /// Changes the fleet's budget of repeats.
+    /// Changes the retry budget of the fleet.
     void set_retries(double ratio, double slack)
     {
         options_.retry_ratio = ratio;
@@ -327,236 +370,269 @@
     struct endpoint_state
     {
         endpoint_record record;
-        /// Those of the record, which take a digest to make.
+        /// Identifiers of `record`. Kept because computing them takes a
+        /// digest.
         endpoint_id id;
         release_id release;
         endpoint_health health;
-        /// It said so in an answer.
-        bool said_leaving = false;
-        /// It has asked for rest until then.
-        time_point rests_until;
-        /// Operators drain its failure domain.
+        /// The endpoint announced in a response that it is leaving.
+        bool announced_leaving = false;
+        /// End of the back-off that the endpoint requested.
+        time_point backoff_until;
+        /// Operators drain the failure domain of the endpoint.
         bool is_drained = false;
-        /// It warms up until then, as far as this instance limits itself.
+        /// Time until which this instance limits its requests to the endpoint
+        /// because it is warming up.
         time_point limited_until;
-        /// Entry that told of the warm-up last.
+        /// Revision of the latest entry that announced a warm-up.
         std::uint64_t warming_revision = 0;
-        /// Requests chosen for it while it warms up that are not sent yet.
-        unsigned chosen = 0;
+        /// Requests that were placed at the endpoint during its warm-up and
+        /// are not sent yet.
+        unsigned reserved_requests = 0;
 
-        /// Takes over what the endpoint has said of itself.
+        /// Copies the state that the endpoint announced in responses.
         void apply(const endpoint_notices& notices)
         {
-            said_leaving = notices.is_leaving(record);
-            rests_until = notices.rests_until(record);
+            announced_leaving = notices.is_leaving(record);
+            backoff_until = notices.rests_until(record);
         }
         [[nodiscard]] bool is_leaving() const
         {
-            return record.draining || said_leaving;
+            return record.draining || announced_leaving;
         }
-        [[nodiscard]] bool is_resting(time_point now) const
+        [[nodiscard]] bool is_backing_off(time_point now) const
         {
-            return now < rests_until;
+            return now < backoff_until;
         }
         [[nodiscard]] bool is_limited(time_point now) const
         {
             return now < limited_until;
         }
-        /// Whether engines may fetch from it.
-        [[nodiscard]] bool is_source(time_point now) const
+        /// Whether other engines may fetch KV cache contents from this one.
+        [[nodiscard]] bool is_fetch_source(time_point now) const
         {
             return is_usable(now) && !is_limited(now);
         }
-        /// Apart from the limit of a warm-up.
+        /// Whether new requests may be placed here, regardless of the warm-up
+        /// limit.
         [[nodiscard]] bool is_usable(time_point now) const
         {
-            return !is_leaving() && !is_drained && !is_resting(now) &&
+            return !is_leaving() && !is_drained && !is_backing_off(now) &&
                    !health.set_aside(now);
         }
     };
-    using listing = std::span<const endpoint_state* const>;
+    using endpoint_list = std::span<const endpoint_state* const>;
     struct candidate
     {
         const endpoint_state* state = nullptr;
         double wait_ms = 0;
-        double read_ms = 0;
+        double prefill_ms = 0;
         double cached = 0;
         double slowness = 1;
-        /// Requests that get a slot at once, and what each beyond them adds to
-        /// the wait, in ms.
+        /// Number of further requests that get a slot immediately, and the
+        /// wait, in ms, that each request beyond them adds.
         double free_slots = 0;
         double ms_per_request = 1;
         std::optional<fetch_plan> fetch;
-        /// Time to the first token plus what the choice costs others.
+        /// Predicted time to the first token plus the estimated cost to other
+        /// requests, in ms.
         double cost = 0;
     };
-    /// The engine that keeps most of a prompt.
+    /// The engine that holds the longest cached prefix of a prompt.
     struct prompt_source
     {
         const endpoint_state* state = nullptr;
         double tokens = 0;
     };
 
-    /// Requests of a service that were weighed here, and those that were sent.
-    struct admission
+    /// Rates of a service's requests that this instance evaluated, and of
+    /// those that it sent.
+    struct admission_rates
     {
-        rate_meter weighed;
+        rate_meter evaluated;
         rate_meter sent;
 
-        /// How many were weighed for each that was sent.
-        [[nodiscard]] double weighed_for_sent(time_point now) const;
+        /// Ratio of evaluated to sent requests, at least 1.
+        [[nodiscard]] double evaluated_per_sent(time_point now) const;
     };
 
-    /// What the candidates for one request have in common.
-    struct weighing
+    /// State shared by all candidates for one request.
+    struct request_context
     {
         time_point now;
-        const request_profile& asked;
-        const service& kind;
+        const request_profile& request;
+        const service& service_info;
         engine_figures figures;
-        hold_time held;
+        hold_time hold_estimate;
         prompt_source source;
 
-        /// How long requests hold a slot.
-        [[nodiscard]] double held_ms() const;
-        /// Time that an engine of usual speed reads if it keeps so many tokens.
-        [[nodiscard]] double read_ms(double kept) const
+        /// Mean time, in ms, for which a request of the service occupies a
+        /// slot.
+        [[nodiscard]] double mean_hold_ms() const;
+        /// Prefill time, in ms, of an engine with slowdown factor 1 that has
+        /// `kept` tokens of the prompt in its KV cache.
+        [[nodiscard]] double prefill_ms(double kept) const
         {
-            return figures.read_ms(kept, asked.prompt_tokens - kept);
+            return figures.read_ms(kept, request.prompt_tokens - kept);
         }
     };
 
-    [[nodiscard]] weighing prepare(time_point now, const request_profile& asked,
-                                   const service& kind) const;
-    /// Time to the first token and its price at one endpoint.
-    [[nodiscard]] candidate weigh(const weighing& of,
-                                  const endpoint_state& at) const;
-    void weigh_engine(const weighing& of, candidate& made) const;
-    void weigh_plain(candidate& made) const;
-    /// The endpoint for a request, of those that it may go to.
+    [[nodiscard]] request_context
+    make_context(time_point now, const request_profile& request,
+                 const service& service_info) const;
+    /// Predicts the time to the first token at one endpoint and the cost of
+    /// choosing it.
+    [[nodiscard]] candidate evaluate(const request_context& context,
+                                     const endpoint_state& endpoint) const;
+    void evaluate_engine(const request_context& context,
+                         candidate& result) const;
+    void evaluate_plain(candidate& result) const;
+    /// Chooses the best of the endpoints that the request may be sent to.
     [[nodiscard]] std::optional<candidate>
-    choose(const weighing& of, const std::vector<const endpoint_state*>& from);
-    /// Draws it so that what others have sent since the last news spreads over
-    /// all, and places the request among those.
-    candidate draw(const weighing& of, std::vector<candidate> from);
-    /// Requests of others that have ended there since the last news.
-    [[nodiscard]] double ended_unseen(const weighing& of,
-                                      const candidate& at) const;
-    /// Requests that others would have sent to these since the last news, had
-    /// none been refused.
-    [[nodiscard]] double unseen_requests(const weighing& of,
-                                         std::span<const candidate> at) const;
-    /// Fetches the beginning of the prompt instead, where that is cheaper.
-    void weigh_fetch(const weighing& of, candidate& made) const;
+    choose_endpoint(const request_context& context,
+                    const std::vector<const endpoint_state*>& endpoints);
+    /// Draws the endpoint at random, such that the requests that other
+    /// instances have sent since their last reports spread over all endpoints.
+    /// The wait of the result assumes a random position among those requests.
+    candidate draw_candidate(const request_context& context,
+                             std::vector<candidate> candidates);
+    /// Estimated number of other instances' requests at this endpoint that
+    /// have completed since the last reports.
+    [[nodiscard]] double unreported_completions(const request_context& context,
+                                                const candidate& option) const;
+    /// Estimated number of requests that other instances would have sent to
+    /// these endpoints since their last reports if they had refused none.
+    [[nodiscard]] double
+    unreported_requests(const request_context& context,
+                        std::span<const candidate> candidates) const;
+    /// Plans to fetch the cached prefix from another engine where that costs
+    /// less than prefill.
+    void evaluate_fetch(const request_context& context,
+                        candidate& result) const;
     [[nodiscard]] prompt_source find_source(time_point now,
-                                            const request_profile& asked,
-                                            const service& kind) const;
-    /// Whether the wait at an engine is that for one prompt, and what it takes
-    /// is a guess.
-    [[nodiscard]] bool waits_for_a_guess(const weighing& of,
-                                         const candidate& at) const;
-    [[nodiscard]] placement_decision place(const weighing& of,
-                                           candidate best) const;
-    void renew_guesses();
-    /// Takes what an endpoint's new entry says of its warm-up.
-    void note_warmup(time_point now, endpoint_state& at, bool was_known);
-    /// An endpoint warms up for some more time.
-    /// \param in_use others may be sending to it without a limit.
-    void limit(time_point now, endpoint_state& at, duration left, bool in_use);
-    /// Puts in force what is known of its warm-up.
-    void renew_limit(endpoint_state& at) const;
-    /// Time for which an endpoint of a service warms up; zero if it needs none.
-    [[nodiscard]] duration warmup_of(service_id id) const;
-    /// Whether one more request may go to an endpoint that warms up.
-    /// \param chosen those that were chosen for it before and are not sent.
-    [[nodiscard]] bool admits(time_point now, const endpoint_state& at,
-                              unsigned chosen) const;
-    /// Requests that this instance may send it in any second.
-    [[nodiscard]] unsigned own_part(time_point now,
-                                    const endpoint_state& at) const;
-    /// Time until one of these endpoints may get a request, if all that are
-    /// usable warm up.
+                                            const request_profile& request,
+                                            const service& service_info) const;
+    /// Whether the predicted wait at an engine comes from a single prompt
+    /// whose prefill time is a default estimate, not an observation.
+    [[nodiscard]] bool wait_is_unreliable(const request_context& context,
+                                          const candidate& option) const;
+    [[nodiscard]] placement_decision
+    make_placement(const request_context& context, candidate best) const;
+    void update_default_estimates();
+    /// Applies the warm-up state in a new entry of an endpoint.
+    void apply_warmup_entry(time_point now, endpoint_state& endpoint,
+                            bool was_known);
+    /// Records that an endpoint is warming up for the given remaining time.
+    /// \param in_use whether other instances may be sending to the endpoint
+    /// without a limit.
+    void start_warmup_limit(time_point now, endpoint_state& endpoint,
+                            duration left, bool in_use);
+    /// Recomputes until when the endpoint is limited.
+    void update_warmup_limit(endpoint_state& endpoint) const;
+    /// Configured warm-up time of the service's endpoints; zero if they need
+    /// none.
+    [[nodiscard]] duration warmup_duration(service_id id) const;
+    /// Whether the quota of a warming endpoint allows one more request.
+    /// \param reserved requests that were placed at the endpoint before and
+    /// are not sent yet.
+    [[nodiscard]] bool admits(time_point now, const endpoint_state& endpoint,
+                              unsigned reserved) const;
+    /// Number of requests that this instance may send to a warming endpoint in
+    /// any second.
+    [[nodiscard]] unsigned warmup_quota(time_point now,
+                                        const endpoint_state& endpoint) const;
+    /// Time until one of these endpoints may receive a request, if all usable
+    /// ones are warming up; empty otherwise.
     [[nodiscard]] std::optional<duration>
-    warming_pause(time_point now, listing endpoints) const;
-    /// As `rest_pause`, of these endpoints.
-    [[nodiscard]] std::optional<milliseconds> rest_pause_of(time_point now,
-                                                            listing endpoints);
-    static void unreserve(endpoint_state& at, placement_decision& placed);
-    /// Whether operators drain the domains of all of these endpoints that do
-    /// not leave; false if there are none.
-    [[nodiscard]] static bool all_drained(listing endpoints);
-    /// Puts a new notice of an endpoint in force.
+    warmup_delay(time_point now, endpoint_list endpoints) const;
+    /// Same as `rest_pause`, for a given list of endpoints.
+    [[nodiscard]] std::optional<milliseconds>
+    backoff_delay_of(time_point now, endpoint_list endpoints);
+    static void cancel_reservation(endpoint_state& endpoint,
+                                   placement_decision& placement);
+    /// Whether operators drain the failure domains of all endpoints in the
+    /// list that are not leaving; false if there are none.
+    [[nodiscard]] static bool all_drained(endpoint_list endpoints);
+    /// Copies the recorded announcements of an endpoint into its state.
     void apply_notices(endpoint_id endpoint);
-    /// How long answers of engines of a service hold a slot.
-    [[nodiscard]] hold_time held_at(const service& kind) const;
-    /// Learns it from an answer that has ended.
-    void note_held(time_point now, const placement_decision& at);
-    [[nodiscard]] double price_of_reading() const;
+    /// Estimated time for which requests of a service occupy a slot.
+    [[nodiscard]] hold_time hold_time_of(const service& service_info) const;
+    /// Updates the estimate from a completed request.
+    void record_hold_time(time_point now, const placement_decision& placement);
+    [[nodiscard]] double prefill_cost_factor() const;
     [[nodiscard]] bool uses(mechanism which) const
     {
         return options_.mechanisms.has(which);
     }
-    /// Wait, in ms, at which a request is refused rather than sent.
-    [[nodiscard]] double longest_wait(const request_profile& asked,
-                                      const service& kind) const;
-    /// Asks to come back after about a pause, each caller after another one.
+    /// Longest allowed wait, in ms; a request with a longer one is refused.
+    /// Negative if the request is refused whatever the wait.
+    [[nodiscard]] double max_wait_ms(const request_profile& request,
+                                     const service& service_info) const;
+    /// Refuses a request. The retry delay is drawn from 0.5 to 1.5 times
+    /// `pause_ms`, so that callers return at different times.
     refusal_decision refuse(refusal reason, double pause_ms, double wait_ms);
-    /// A time no shorter than another, for each caller another one.
-    [[nodiscard]] double spread_beyond(double ms);
-    /// Asks to come back no sooner than a time.
+    /// Returns a random time from `ms` to 1.25 times `ms`.
+    [[nodiscard]] double add_jitter(double ms);
+    /// Refuses a request with a retry delay of at least `time`.
     refusal_decision refuse_until(refusal reason, duration time);
-    refusal_decision refuse_for_load(const request_profile& asked,
+    refusal_decision refuse_for_load(const request_profile& request,
                                      double wait_ms, double allowed_ms);
     refusal_decision refuse_without_endpoint(time_point now,
-                                             const request_profile& asked,
+                                             const request_profile& request,
                                              service_id service);
-    /// Tells the streams which releases have endpoints.
-    void tell_releases(time_point now);
-    /// The longest time of a stream, and routes that lead elsewhere by now.
-    void tell_routes(time_point now, const catalogue& newer);
-    refusal_decision refuse_far_beyond(const request_profile& asked);
-    /// Tokens of prompts that an endpoint has room for; 0 if it is not known
-    /// or no engine.
-    [[nodiscard]] double kept_tokens(endpoint_id endpoint) const;
-    /// Counts how many ask about each prompt. Only a large fleet chooses by it.
-    void note_demand(time_point now, std::span<const cache_note> notes);
-    /// All endpoints of a service that are listed.
-    [[nodiscard]] listing endpoints_of(service_id service) const;
-    /// Those of them that a request may ever go to, by their release.
+    /// Passes the releases of all listed endpoints to the stream table.
+    void update_listed_releases(time_point now);
+    /// Passes the longest stream timeout, the services that share a route and
+    /// the changed route targets of a new configuration to the stream table.
+    void update_stream_routes(time_point now, const catalogue& newer);
+    refusal_decision refuse_excess_demand(const request_profile& request);
+    /// Estimated capacity, in tokens, of the endpoint's KV cache for prompts;
+    /// 0 if the endpoint is unknown or no engine.
+    [[nodiscard]] double cache_capacity_tokens(endpoint_id endpoint) const;
+    /// Records the request rate of each prompt. Only large fleets use it.
+    void record_prompt_demand(time_point now,
+                              std::span<const cache_note> notes);
+    /// All listed endpoints of a service.
+    [[nodiscard]] endpoint_list endpoints_of(service_id service) const;
+    /// Listed endpoints of a service whose release may serve the request.
     [[nodiscard]] std::vector<const endpoint_state*>
-    fitting(const request_profile& asked, service_id service) const;
-    /// Endpoints that a request may go to, without those in `tried`.
+    endpoints_of_release(const request_profile& request,
+                         service_id service) const;
+    /// Endpoints that may receive the request now, except those in `tried`.
     [[nodiscard]] std::vector<const endpoint_state*>
-    usable(time_point now, const request_profile& asked, const service& kind,
-           const std::set<endpoint_id>& tried) const;
+    usable_endpoints(time_point now, const request_profile& request,
+                     const service& service_info,
+                     const std::set<endpoint_id>& tried) const;
     [[nodiscard]] const service* find_service(service_id id) const;
 
     router_options options_;
     std::mt19937_64 random_;
     std::shared_ptr<const catalogue> config_;
     std::map<endpoint_id, endpoint_state> endpoints_;
-    /// Into `endpoints_`, whose elements stay where they are.
-    std::map<service_id, std::vector<const endpoint_state*>> by_service_;
-    std::set<domain_id> drained_;
+    /// Pointers into `endpoints_`, whose elements have stable addresses.
+    std::map<service_id, std::vector<const endpoint_state*>>
+        endpoints_by_service_;
+    std::set<domain_id> drained_domains_;
     slow_start slow_start_;
-    allowance_parts parts_;
+    allowance_parts warmup_allowances_;
     endpoint_notices notices_;
     load_ledger ledger_;
     prefix_cache cache_;
-    prompt_homes homes_;
-    fetch_links links_;
+    prompt_homes prompt_homes_;
+    fetch_links fetch_links_;
     std::map<service_id, engine_estimator> estimators_;
-    std::map<service_id, hold_time> holds_;
-    std::map<service_id, admission> admissions_;
-    account_shares shares_;
+    std::map<service_id, hold_time> hold_times_;
+    std::map<service_id, admission_rates> admissions_;
+    account_shares account_shares_;
     std::map<service_id, retry_budget> budgets_;
-    std::vector<cache_note> notes_;
+    std::vector<cache_note> unsent_cache_notes_;
     stream_releases streams_;
-    /// A long prompt was sent since the last report.
-    bool urgent_ = false;
+    /// A long prompt or an urgent stream note is waiting for the next report.
+    bool report_is_urgent_ = false;
     /// Largest number of instances seen.
     std::size_t fleet_size_ = 0;
-    /// News of other instances comes by way of aggregators, and late.
+    /// Reports of other instances arrive through aggregators, with additional
+    /// delay.
     bool large_fleet_ = false;
 };
 
--- a/packages/core/lib/direct/router.cpp
+++ b/packages/core/lib/direct/router.cpp
@@ -1,4 +1,5 @@
-// What decisions rest on: configuration, endpoints, work, caches and accounts.
+// State behind the routing decisions: configuration, endpoints, open work, KV
+// cache contents and client accounts.
 #include "sycamorelock/core/direct/router.hpp"
 
 #include "sycamorelock/core/direct/peers.hpp"
@@ -12,35 +13,40 @@
 namespace
 {
 
-/// The others are told at once of a prompt that takes this long to read, in ms.
-/// What they do not know of yet makes them send small requests behind it: of
-/// the first tokens that were late on a calm day, two thirds had been predicted
-/// in time. Worth of the days with trouble: 0.006 more (Vejle, three seeds a
-/// day).
-constexpr double urgent_ms = 60;
-/// Longest time, in ms, until an engine is thought to have read a prompt: an
-/// hour, longer than anyone waits. Callers name sizes that no clock can count.
-constexpr double longest_due_ms = 3'600'000;
-/// Part of an engine's memory that keeps prompts. Those of running requests are
-/// among them; what else runs is what it generates, a few tokens each.
-constexpr double kept_memory = 0.95;
-/// How long an engine's answer is thought to hold a slot until one has ended,
-/// in ms: two hundred tokens at the speed at which people read along.
-constexpr double guessed_answer_ms = 5000;
-/// Parts that a copy of what engines keep tells of: 12 bytes each, so that it
-/// is some 250 KB at most.
-constexpr std::size_t most_copied = 20000;
-/// The fleet's slack for repeats is divided among instances that do not see
-/// each other's repeats at once; a part stays unused.
-constexpr double slack_in_use = 0.6;
-constexpr double ratio_in_use = 0.8;
-
-/// Time from the sending of a request until its engine begins to read.
-milliseconds reading_begins_after(const placement_decision& at)
-{
-    const double ms = at.wait_ms + (at.fetch ? at.fetch->transfer_ms : 0);
+/// A request whose prefill takes longer than this, in ms, makes the next
+/// report urgent. Until other instances know of it, they queue short requests
+/// behind it: on a day without failures, two thirds of the late first tokens
+/// had been predicted in time. Urgent reports raise the benchmark score of
+/// days with failures by 0.006.
+constexpr double urgent_prefill_ms = 60;
+/// Upper bound, in ms, on the predicted completion of a prefill: an hour,
+/// longer than any caller waits. Callers may state prompt sizes whose
+/// predicted time would overflow the clock.
+constexpr double max_prefill_due_ms = 3'600'000;
+/// Fraction of an engine's memory that holds prompts. It includes the prompts
+/// of running requests; the remainder holds the generated tokens of running
+/// requests, a few tokens each.
+constexpr double prompt_memory_fraction = 0.95;
+/// Default time, in ms, for which a response occupies an engine slot, used
+/// until the first response has completed: two hundred tokens at human reading
+/// speed.
+constexpr double default_answer_ms = 5000;
+/// Maximum number of prompt parts in a copy of the KV cache estimates. A part
+/// takes 12 bytes, which limits the copy to about 250 KB.
+constexpr std::size_t max_copied_parts = 20000;
+/// Fractions of the fleet's retry slack and retry ratio that instances use.
+/// The budget is divided among instances that do not see each other's retries
+/// immediately, so a part of it is left unused.
+constexpr double usable_retry_slack = 0.6;
+constexpr double usable_retry_ratio = 0.8;
+
+/// Time from sending a request until its engine starts prefill.
+milliseconds time_to_prefill_start(const placement_decision& placement)
+{
+    const double ms = placement.wait_ms +
+                      (placement.fetch ? placement.fetch->transfer_ms : 0);
     return milliseconds(
-        static_cast<milliseconds::rep>(std::min(ms, longest_due_ms)));
+        static_cast<milliseconds::rep>(std::min(ms, max_prefill_due_ms)));
 }
 
 } // namespace
@@ -95,35 +101,35 @@
 
 router::router(router_options options)
     : options_(options), random_(options.seed),
-      parts_(options.self, options.domain, options.domains)
+      warmup_allowances_(options.self, options.domain, options.domains)
 {
 }
 
 void router::install(time_point now, std::shared_ptr<const catalogue> newer)
 {
-    tell_routes(now, *newer);
+    update_stream_routes(now, *newer);
     config_ = std::move(newer);
-    renew_guesses();
+    update_default_estimates();
     for (auto& [id, state] : endpoints_)
-        renew_limit(state);
+        update_warmup_limit(state);
 }
 
-hold_time router::held_at(const service& kind) const
+hold_time router::hold_time_of(const service& service_info) const
 {
-    const auto learned = holds_.find(kind.id);
-    return learned == holds_.end() ? hold_time(guessed_answer_ms)
-                                   : learned->second;
+    const auto learned = hold_times_.find(service_info.id);
+    return learned == hold_times_.end() ? hold_time(default_answer_ms)
+                                        : learned->second;
 }
 
-void router::renew_guesses()
+void router::update_default_estimates()
 {
     static constexpr double ms_per_second = 1000;
     if (!config_)
         return;
-    for (const auto& [id, engines] : by_service_)
+    for (const auto& [id, engines] : endpoints_by_service_)
     {
-        if (const service* kind = find_service(id);
-            kind == nullptr || !kind->is_engine())
+        if (const service* service_info = find_service(id);
+            service_info == nullptr || !service_info->is_engine())
             continue;
         estimators_[id].set_guess(config_->limits.tokens_per_second /
                                   ms_per_second /
@@ -132,19 +138,19 @@
 }
 
 std::optional<withheld_reason>
-router::withheld(time_point now, const placement_decision& at) const
+router::withheld(time_point now, const placement_decision& placement) const
 {
-    const auto found = endpoints_.find(at.hold.endpoint);
+    const auto found = endpoints_.find(placement.hold.endpoint);
     if (found == endpoints_.end())
         return withheld_reason::gone;
-    if (found->second.record.version != at.endpoint.version ||
-        found->second.record.service != at.endpoint.service)
+    if (found->second.record.version != placement.endpoint.version ||
+        found->second.record.service != placement.endpoint.service)
         return withheld_reason::other_release;
     if (found->second.is_leaving())
         return withheld_reason::leaving;
     if (found->second.is_drained)
         return withheld_reason::drained;
-    if (found->second.is_resting(now) && !at.is_trial)
+    if (found->second.is_backing_off(now) && !placement.is_trial)
         return withheld_reason::resting;
     if (found->second.is_limited(now) && !admits(now, found->second, 0))
         return withheld_reason::warming_up;
@@ -154,7 +160,7 @@
 bool router::may_fetch(time_point now, const fetch_plan& plan) const
 {
     const auto found = endpoints_.find(plan.source);
-    return found != endpoints_.end() && found->second.is_source(now);
+    return found != endpoints_.end() && found->second.is_fetch_source(now);
 }
 
 bool router::note_leaving(time_point now, const endpoint_record& from)
@@ -165,9 +171,9 @@
 }
 
 void router::note_rest(time_point now, const endpoint_record& from,
-                       milliseconds asked)
+                       milliseconds requested)
 {
-    notices_.note_rest(now, from, asked);
+    notices_.note_rest(now, from, requested);
     apply_notices(from.id());
 }
 
@@ -181,31 +187,31 @@
 std::optional<milliseconds> router::rest_pause(time_point now,
                                                service_id service)
 {
-    return rest_pause_of(now, endpoints_of(service));
+    return backoff_delay_of(now, endpoints_of(service));
 }
 
-std::optional<milliseconds> router::rest_pause_of(time_point now,
-                                                  listing endpoints)
+std::optional<milliseconds> router::backoff_delay_of(time_point now,
+                                                     endpoint_list endpoints)
 {
     std::optional<time_point> first_end;
     for (const endpoint_state* state : endpoints)
     {
         if (state->is_leaving() || state->is_drained)
             continue;
-        if (!state->is_resting(now))
+        if (!state->is_backing_off(now))
             return std::nullopt;
-        if (!first_end || state->rests_until < *first_end)
-            first_end = state->rests_until;
+        if (!first_end || state->backoff_until < *first_end)
+            first_end = state->backoff_until;
     }
     if (!first_end)
         return std::nullopt;
     return milliseconds(static_cast<milliseconds::rep>(
-        std::ceil(spread_beyond(to_ms(*first_end - now)))));
+        std::ceil(add_jitter(to_ms(*first_end - now)))));
 }
 
-double router::spread_beyond(double ms)
+double router::add_jitter(double ms)
 {
-    // So that not all callers come at the moment at which it ends.
+    // Keeps callers from all returning at the moment at which the delay ends.
     std::uniform_real_distribution<double> spread(1, 1.25);
     return ms * spread(random_);
 }
@@ -215,7 +221,7 @@
 {
     notices_.keep_listed(now, all);
     std::map<endpoint_id, endpoint_state> next;
-    by_service_.clear();
+    endpoints_by_service_.clear();
     for (const auto& [boot, record] : all)
     {
         const endpoint_id id = record.id();
@@ -226,9 +232,9 @@
         state.record = record;
         state.id = id;
         state.release = record.release();
-        state.is_drained = drained_.contains(record.domain);
+        state.is_drained = drained_domains_.contains(record.domain);
         state.apply(notices_);
-        note_warmup(now, state, known != endpoints_.end());
+        apply_warmup_entry(now, state, known != endpoints_.end());
     }
     slow_start_.forget_unlisted(now);
     for (const auto& [id, state] : endpoints_)
@@ -236,21 +242,21 @@
         if (!next.contains(id))
         {
             cache_.forget(id);
-            links_.forget(id);
+            fetch_links_.forget(id);
             slow_start_.note_unlisted(now, id);
         }
     }
     endpoints_ = std::move(next);
     for (const auto& [id, state] : endpoints_)
-        by_service_[state.record.service].push_back(&state);
-    renew_guesses();
-    tell_releases(now);
+        endpoints_by_service_[state.record.service].push_back(&state);
+    update_default_estimates();
+    update_listed_releases(now);
 }
 
-router::listing router::endpoints_of(service_id service) const
+router::endpoint_list router::endpoints_of(service_id service) const
 {
-    const auto listed = by_service_.find(service);
-    if (listed == by_service_.end())
+    const auto listed = endpoints_by_service_.find(service);
+    if (listed == endpoints_by_service_.end())
         return {};
     return listed->second;
 }
@@ -261,18 +267,19 @@
     return found == config_->services.end() ? nullptr : &found->second;
 }
 
-void router::admit(time_point now, request_profile& asked)
+void router::admit(time_point now, request_profile& request)
 {
-    for (const route_target& target : asked.way->targets)
+    for (const route_target& target : request.way->targets)
     {
         const auto found = budgets_.find(target.service);
         if (found != budgets_.end())
             found->second.earn();
     }
-    if (!asked.account || asked.parts.empty())
+    if (!request.account || request.parts.empty())
         return;
-    asked.standing = shares_.ask(now, *asked.account, asked.share_tokens(),
-                                 config_->limits.tokens_per_second);
+    request.standing =
+        account_shares_.ask(now, *request.account, request.share_tokens(),
+                            config_->limits.tokens_per_second);
 }
 
 service_id router::pick_service(const route& way)
@@ -296,8 +303,8 @@
     const auto instances =
         static_cast<double>(std::max<std::size_t>(fleet_size_, 1));
     const auto [found, fresh] = budgets_.try_emplace(
-        service, options_.retry_ratio * ratio_in_use,
-        std::max(1.0, options_.retry_slack * slack_in_use / instances));
+        service, options_.retry_ratio * usable_retry_ratio,
+        std::max(1.0, options_.retry_slack * usable_retry_slack / instances));
     return found->second.spend();
 }
 
@@ -307,87 +314,90 @@
     large_fleet_ = fleet_size_ > peers::mesh_limit + 1;
 }
 
-void router::sent(time_point now, const request_profile& asked,
-                  placement_decision& at)
+void router::sent(time_point now, const request_profile& request,
+                  placement_decision& placement)
 {
-    at.sent = now;
+    placement.sent = now;
     if (uses(mechanism::reading_progress))
-        at.hold.reads_from = now + reading_begins_after(at);
-    at.hold.slowness = at.slowness;
-    ledger_.open(at.hold);
-    if (const auto found = endpoints_.find(at.hold.endpoint);
+        placement.hold.reads_from = now + time_to_prefill_start(placement);
+    placement.hold.slowness = placement.slowness;
+    ledger_.open(placement.hold);
+    if (const auto found = endpoints_.find(placement.hold.endpoint);
         found != endpoints_.end() && found->second.is_limited(now))
     {
-        at.reserved = true;
-        ++found->second.chosen;
+        placement.reserved = true;
+        ++found->second.reserved_requests;
     }
-    urgent_ = urgent_ || (at.hold.unread_ms > urgent_ms &&
-                          uses(mechanism::urgent_reports));
-    if (asked.account && !asked.parts.empty())
-        shares_.serve(now, *asked.account, asked.share_tokens());
-    const service* kind = find_service(at.endpoint.service);
-    if (kind == nullptr || !kind->is_engine() || asked.parts.empty())
+    report_is_urgent_ =
+        report_is_urgent_ || (placement.hold.unread_ms > urgent_prefill_ms &&
+                              uses(mechanism::urgent_reports));
+    if (request.account && !request.parts.empty())
+        account_shares_.serve(now, *request.account, request.share_tokens());
+    const service* service_info = find_service(placement.endpoint.service);
+    if (service_info == nullptr || !service_info->is_engine() ||
+        request.parts.empty())
         return;
-    if (at.fetch)
-        links_.started(now, *at.fetch, at.hold.endpoint);
-    const cache_note note{at.hold.endpoint, asked.parts,
-                          milliseconds(static_cast<milliseconds::rep>(
-                              std::min(at.predicted_ms, longest_due_ms)))};
+    if (placement.fetch)
+        fetch_links_.started(now, *placement.fetch, placement.hold.endpoint);
+    const cache_note note{placement.hold.endpoint, request.parts,
+                          milliseconds(static_cast<milliseconds::rep>(std::min(
+                              placement.predicted_ms, max_prefill_due_ms)))};
     on_notes(now, {&note, 1});
-    notes_.push_back(note);
+    unsent_cache_notes_.push_back(note);
 }
 
-void router::first_token(time_point now, const request_profile& asked,
-                         placement_decision& at, time_point sent)
+void router::first_token(time_point now, const request_profile& request,
+                         placement_decision& placement, time_point sent)
 {
-    ledger_.begin(at.hold);
+    ledger_.begin(placement.hold);
     const double took_ms = to_ms(now - sent);
-    const auto found = endpoints_.find(at.hold.endpoint);
+    const auto found = endpoints_.find(placement.hold.endpoint);
     if (found != endpoints_.end())
-        found->second.health.first_token(now, took_ms, at.predicted_ms);
-    const auto learns = estimators_.find(at.endpoint.service);
+        found->second.health.first_token(now, took_ms, placement.predicted_ms);
+    const auto learns = estimators_.find(placement.endpoint.service);
     const bool is_cold =
         found != endpoints_.end() && found->second.is_limited(now);
-    if (learns == estimators_.end() || at.fetch || is_cold ||
+    if (learns == estimators_.end() || placement.fetch || is_cold ||
         !uses(mechanism::learned_figures))
         return;
     reading seen;
-    seen.cached = at.cached_tokens;
-    seen.uncached = asked.prompt_tokens - at.cached_tokens;
-    seen.wait_ms = at.wait_ms;
-    seen.took_ms = (took_ms - at.wait_ms) / at.slowness;
+    seen.cached = placement.cached_tokens;
+    seen.uncached = request.prompt_tokens - placement.cached_tokens;
+    seen.wait_ms = placement.wait_ms;
+    seen.took_ms = (took_ms - placement.wait_ms) / placement.slowness;
     learns->second.observe(now, seen);
 }
 
-void router::note_held(time_point now, const placement_decision& at)
+void router::record_hold_time(time_point now,
+                              const placement_decision& placement)
 {
-    const service* kind = find_service(at.endpoint.service);
-    if (kind == nullptr || !kind->is_engine() ||
+    const service* service_info = find_service(placement.endpoint.service);
+    if (service_info == nullptr || !service_info->is_engine() ||
         !uses(mechanism::learned_figures))
         return;
-    holds_.try_emplace(kind->id, held_at(*kind))
-        .first->second.observe(to_ms(now - at.sent) - at.wait_ms);
+    hold_times_.try_emplace(service_info->id, hold_time_of(*service_info))
+        .first->second.observe(to_ms(now - placement.sent) - placement.wait_ms);
 }
 
-void router::finished(time_point now, placement_decision& at,
+void router::finished(time_point now, placement_decision& placement,
                       attempt_outcome outcome)
 {
-    ledger_.close(at.hold);
-    const auto found = endpoints_.find(at.hold.endpoint);
+    ledger_.close(placement.hold);
+    const auto found = endpoints_.find(placement.hold.endpoint);
     if (found == endpoints_.end())
         return;
-    unreserve(found->second, at);
+    cancel_reservation(found->second, placement);
     endpoint_health& health = found->second.health;
     switch (outcome)
     {
     case attempt_outcome::succeeded:
         health.succeeded(now);
-        if (at.is_trial)
+        if (placement.is_trial)
         {
-            notices_.end_rest(now, at.endpoint);
-            apply_notices(at.hold.endpoint);
+            notices_.end_rest(now, placement.endpoint);
+            apply_notices(placement.hold.endpoint);
         }
-        note_held(now, at);
+        record_hold_time(now, placement);
         break;
     case attempt_outcome::failed:
     case attempt_outcome::declined:
@@ -395,9 +405,11 @@
         break;
     case attempt_outcome::unreachable:
         health.unreachable(now);
-        // It may be back before it says that it is cold.
-        limit(now, found->second, warmup_of(found->second.record.service),
-              false);
+        // The endpoint may become reachable again before it announces that its
+        // caches are cold.
+        start_warmup_limit(now, found->second,
+                           warmup_duration(found->second.record.service),
+                           false);
         break;
     case attempt_outcome::abandoned:
         break;
@@ -409,20 +421,21 @@
     const instance_id from = instance_id::of(report.sender);
     ledger_.report(now, from, report.work);
     ledger_.refresh(now);
-    shares_.report(now, from, report.demands);
+    account_shares_.report(now, from, report.demands);
     on_notes(now, report.notes);
     on_streams(now, report.streams);
-    for (const service_figures& told : report.figures)
+    for (const service_figures& received : report.figures)
     {
-        const auto known = estimators_.find(told.service);
+        const auto known = estimators_.find(received.service);
         if (known != estimators_.end() && uses(mechanism::learned_figures))
-            known->second.report(now, from, told.figures);
+            known->second.report(now, from, received.figures);
     }
 }
 
-void router::note_demand(time_point now, std::span<const cache_note> notes)
+void router::record_prompt_demand(time_point now,
+                                  std::span<const cache_note> notes)
 {
-    homes_.sweep(now);
+    prompt_homes_.sweep(now);
     for (const cache_note& note : notes)
     {
         if (note.parts.empty())
@@ -433,32 +446,33 @@
         const auto learned = estimators_.find(engine->second.record.service);
         if (learned == estimators_.end())
             continue;
-        homes_.note(now, shared_key(note.parts),
-                    learned->second.figures().read_ms(
-                        shared_tokens(note.parts), note.parts.back().tokens));
+        prompt_homes_.note(
+            now, shared_key(note.parts),
+            learned->second.figures().read_ms(shared_tokens(note.parts),
+                                              note.parts.back().tokens));
     }
 }
 
 void router::on_notes(time_point now, std::span<const cache_note> notes)
 {
     if (large_fleet_)
-        note_demand(now, notes);
+        record_prompt_demand(now, notes);
     for (const cache_note& note : notes)
     {
-        const double capacity = kept_tokens(note.engine);
+        const double capacity = cache_capacity_tokens(note.engine);
         if (capacity > 0 && !note.parts.empty())
             cache_.touch(note.engine, note.parts, capacity, now + note.due);
     }
 }
 
-double router::kept_tokens(endpoint_id endpoint) const
+double router::cache_capacity_tokens(endpoint_id endpoint) const
 {
     const auto found = endpoints_.find(endpoint);
     if (found == endpoints_.end() || !config_)
         return 0;
-    const service* kind = find_service(found->second.record.service);
-    return kind != nullptr && kind->is_engine()
-               ? kind->memory_tokens * kept_memory
+    const service* service_info = find_service(found->second.record.service);
+    return service_info != nullptr && service_info->is_engine()
+               ? service_info->memory_tokens * prompt_memory_fraction
                : 0;
 }
 
@@ -466,7 +480,7 @@
 {
     std::vector<cache_note> known;
     const std::size_t most =
-        most_copied / std::max<std::size_t>(1, endpoints_.size());
+        max_copied_parts / std::max<std::size_t>(1, endpoints_.size());
     for (const auto& [id, state] : endpoints_)
     {
         std::vector<prompt_part> parts = cache_.shared(now, id, most);
@@ -482,7 +496,7 @@
         return;
     for (const cache_note& each : known)
     {
-        const double capacity = kept_tokens(each.engine);
+        const double capacity = cache_capacity_tokens(each.engine);
         if (capacity > 0)
             cache_.adopt(each.engine, each.parts, capacity);
     }
@@ -490,7 +504,7 @@
 
 void router::fill_report(time_point now, exchange_report& report)
 {
-    urgent_ = false;
+    report_is_urgent_ = false;
     ledger_.refresh(now);
     report.figures.clear();
     for (auto& [service, estimator] : estimators_)
@@ -498,9 +512,9 @@
         report.figures.push_back({service, estimator.refresh(now)});
     }
     report.work = ledger_.own();
-    report.notes = std::move(notes_);
-    notes_.clear();
-    report.demands = shares_.own(now);
+    report.notes = std::move(unsent_cache_notes_);
+    unsent_cache_notes_.clear();
+    report.demands = account_shares_.own(now);
     report.streams = streams_.take_untold(now);
     report.wants_streams = streams_.wants_streams(now);
     report.wants_releases = streams_.wants_releases(now);
--- a/packages/core/lib/direct/router_decision.cpp
+++ b/packages/core/lib/direct/router_decision.cpp
@@ -1,5 +1,5 @@
-// Which endpoint a request goes to, by the predicted time to its first token
-// and what the choice costs others, or why it goes to none.
+// Chooses the endpoint of a request by the predicted time to the first token
+// and the estimated cost to other requests, or refuses the request.
 #include "sycamorelock/core/direct/router.hpp"
 #include "sycamorelock/core/direct/unseen_requests.hpp"
 
@@ -13,109 +13,117 @@
 namespace
 {
 
-/// Reading again what another engine keeps takes time from every request that
-/// comes after, so it counts more than its own delay.
-constexpr double reread_price = 5.0;
-/// A transfer keeps two links from others, and leaves one more copy that takes
-/// memory from other prompts, so it counts more than its own delay too. With 10
-/// the worth of the days with trouble is 0.645 on Atlas and on Kurzeme and
-/// 0.694 on Vejle; with 2 it is 0.616, 0.615 and 0.692, with 20 0.648, 0.648,
-/// 0.691.
-constexpr double transfer_price = 10.0;
-/// Fewer tokens than this are read: a transfer would take longer to set up.
-constexpr double least_fetch = 32;
-/// Expected delay, in ms, from an endpoint that fails every request.
-constexpr double failure_price_ms = 2000;
-/// Way to an endpoint in another failure domain and back, in ms.
-constexpr double domain_price_ms = 3;
-/// Largest term that settles ties, in ms: all instances agree on the order.
-constexpr double tie_ms = 15;
-/// Longest wait for earlier prompts, as a share of the tightest objective of
-/// the service: for accounts within what operators owe them, and for those
-/// beyond it that have at most their fair part of what the engines reach. The
-/// second is short, so that what nobody is owed delays nobody much.
-constexpr double wait_share = 0.6;
-constexpr double wait_share_beyond = 0.15;
-/// An account that got this many times its fair part is refused even where no
-/// one waits, while others ask for more than they get: what it leaves goes to
-/// them. Otherwise an account whose prompts lie at idle engines got three
-/// times as much as one whose engines are busy.
-constexpr double far_beyond = 1.5;
-constexpr double wait_share_far_beyond = -0.01;
-/// Wait for a slot of a plain service: mean work of one request, in ms, until
-/// observed otherwise.
-constexpr double plain_work_ms = 30;
-/// Part of an engine's slots that may be counted on: others may have sent as
-/// many requests that are not known yet as the rest. Without it, on engines
-/// that turned three times as slow, 27 in 100 first tokens are late, with it 19
-/// (engine model).
-constexpr double known_slots = 0.95;
-/// Mean age of news in a large fleet, in ms: two waits for a report (every
-/// 50 ms), the ticks of three processes, and the ways between them.
-constexpr double news_age_ms = 150;
-/// Requests that a plain endpoint may hold waiting, as a share of its slots.
-constexpr double plain_backlog = 3.0;
+/// Weight of prefill time in the cost of a placement, in addition to the delay
+/// of the request itself: repeating the prefill of a prefix that another
+/// engine has cached delays every later request.
+constexpr double repeated_prefill_cost_factor = 5.0;
+/// Weight of transfer time in the cost of a placement, in addition to the
+/// delay of the request itself: a transfer occupies two links and leaves one
+/// more copy, which takes memory from other prompts. A weight of 2 lowers the
+/// benchmark score of days with failures from 0.645 to 0.616; 20 changes it by
+/// 0.003 at most.
+constexpr double transfer_cost_factor = 10.0;
+/// Minimum number of tokens to fetch: prefill of fewer takes less time than
+/// setting up a transfer.
+constexpr double min_fetch_tokens = 32;
+/// Expected delay, in ms, caused by an endpoint that fails every request.
+constexpr double failure_cost_ms = 2000;
+/// Round-trip time, in ms, to an endpoint in another failure domain.
+constexpr double remote_domain_cost_ms = 3;
+/// Maximum of the term that breaks ties, in ms. It is derived from a hash, so
+/// that all instances agree on the order of the endpoints.
+constexpr double max_tie_break_ms = 15;
+/// Longest allowed wait for earlier prompts, as a fraction of the tightest
+/// objective of the service. The first applies to accounts within the share
+/// that operators grant them, the second to accounts beyond it that have
+/// consumed at most their fair part of the engines' throughput. The second is
+/// small, so that consumption beyond the granted share hardly delays others.
+constexpr double max_wait_fraction = 0.6;
+constexpr double max_wait_fraction_beyond_share = 0.15;
+/// An account that has consumed this multiple of its fair part is refused even
+/// if no request waits, as long as other accounts demand more than they
+/// receive: the throughput it leaves goes to them. Without this limit, an
+/// account whose prompts were cached on idle engines received three times as
+/// much as one whose engines were busy.
+constexpr double far_beyond_share_ratio = 1.5;
+constexpr double max_wait_fraction_far_beyond_share = -0.01;
+/// Default mean processing time, in ms, of a request to a plain service, used
+/// to predict the wait for a slot.
+constexpr double default_plain_work_ms = 30;
+/// Fraction of an engine's slots that placements may use. The remainder is
+/// reserved for requests of other instances that have not been reported yet.
+/// In the engine model, with engines slowed down by a factor of three, it
+/// lowers the proportion of late first tokens from 27 to 19 in 100.
+constexpr double usable_slot_fraction = 0.95;
+/// Mean age, in ms, of the reports from other instances in a large fleet: two
+/// waits for a report (one every 50 ms), the ticks of three processes and the
+/// network delays between them.
+constexpr double mean_report_age_ms = 150;
+/// Requests that may wait at a plain endpoint, as a multiple of its slots.
+constexpr double max_plain_backlog = 3.0;
 
-/// Longest wait as a share of the objective.
-double allowed_wait(const account_standing& standing,
-                    const mechanism_set& mechanisms)
+/// Longest allowed wait as a fraction of the objective.
+double allowed_wait_fraction(const account_standing& standing,
+                             const mechanism_set& mechanisms)
 {
     if (standing.owed <= 1 || !mechanisms.has(mechanism::fair_shares))
-        return wait_share;
+        return max_wait_fraction;
     if (!mechanisms.has(mechanism::far_beyond))
-        return wait_share_beyond;
-    const double excess =
-        std::clamp((standing.fair - 1) / (far_beyond - 1), 0.0, 1.0);
-    return wait_share_beyond +
-           excess * (wait_share_far_beyond - wait_share_beyond);
+        return max_wait_fraction_beyond_share;
+    const double excess = std::clamp(
+        (standing.fair - 1) / (far_beyond_share_ratio - 1), 0.0, 1.0);
+    return max_wait_fraction_beyond_share +
+           excess * (max_wait_fraction_far_beyond_share -
+                     max_wait_fraction_beyond_share);
 }
 
 } // namespace
 
 std::vector<const router::endpoint_state*>
-router::usable(time_point now, const request_profile& asked,
-               const service& kind, const std::set<endpoint_id>& tried) const
+router::usable_endpoints(time_point now, const request_profile& request,
+                         const service& service_info,
+                         const std::set<endpoint_id>& tried) const
 {
-    const listing listed = endpoints_of(kind.id);
+    const endpoint_list listed = endpoints_of(service_info.id);
     std::vector<const endpoint_state*> result;
     result.reserve(listed.size());
     for (const endpoint_state* state : listed)
     {
-        if (asked.release && *asked.release != state->release)
+        if (request.release && *request.release != state->release)
             continue;
-        const bool is_open =
-            state->is_usable(now) &&
-            (!state->is_limited(now) || admits(now, *state, state->chosen));
+        const bool is_open = state->is_usable(now) &&
+                             (!state->is_limited(now) ||
+                              admits(now, *state, state->reserved_requests));
         if (is_open && (tried.empty() || !tried.contains(state->id)))
             result.push_back(state);
     }
-    if (!large_fleet_ || !kind.is_engine() || asked.parts.size() < 2 ||
-        !uses(mechanism::prompt_homes))
+    if (!large_fleet_ || !service_info.is_engine() ||
+        request.parts.size() < 2 || !uses(mechanism::prompt_homes))
         return result;
-    const std::uint64_t key = shared_key(asked.parts);
-    keep_highest_ranked(key, result, homes_.count(now, key),
+    const std::uint64_t key = shared_key(request.parts);
+    keep_highest_ranked(key, result, prompt_homes_.count(now, key),
                         [](const endpoint_state* state) { return state->id; });
     return result;
 }
 
 router::prompt_source router::find_source(time_point now,
-                                          const request_profile& asked,
-                                          const service& kind) const
+                                          const request_profile& request,
+                                          const service& service_info) const
 {
     prompt_source best;
-    if (!kind.can_fetch() || asked.parts.empty() ||
+    if (!service_info.can_fetch() || request.parts.empty() ||
         !uses(mechanism::prompt_fetch))
         return best;
     double best_busy = 0;
-    for (const endpoint_state* state : endpoints_of(kind.id))
+    for (const endpoint_state* state : endpoints_of(service_info.id))
     {
-        if (!state->is_source(now))
+        if (!state->is_fetch_source(now))
             continue;
-        const double tokens = cache_.ready(now, state->id, asked.parts);
-        const double busy = links_.busy_ms(now, state->id);
+        const double tokens = cache_.ready(now, state->id, request.parts);
+        const double busy = fetch_links_.busy_ms(now, state->id);
         const bool better =
             tokens > best.tokens || (tokens == best.tokens && busy < best_busy);
-        if (tokens < least_fetch || !better)
+        if (tokens < min_fetch_tokens || !better)
             continue;
         best = {state, tokens};
         best_busy = busy;
@@ -123,142 +131,167 @@
     return best;
 }
 
-router::weighing router::prepare(time_point now, const request_profile& asked,
-                                 const service& kind) const
+router::request_context router::make_context(time_point now,
+                                             const request_profile& request,
+                                             const service& service_info) const
 {
-    const auto learned = estimators_.find(kind.id);
+    const auto learned = estimators_.find(service_info.id);
     return {now,
-            asked,
-            kind,
+            request,
+            service_info,
             learned == estimators_.end() ? engine_figures()
                                          : learned->second.figures(),
-            held_at(kind),
-            find_source(now, asked, kind)};
+            hold_time_of(service_info),
+            find_source(now, request, service_info)};
 }
 
-void router::weigh_fetch(const weighing& of, candidate& made) const
+void router::evaluate_fetch(const request_context& context,
+                            candidate& result) const
 {
-    const endpoint_state* const source = of.source.state;
-    const double tokens = of.source.tokens - made.cached;
-    if (source == nullptr || source == made.state || tokens < least_fetch)
+    const endpoint_state* const source = context.source.state;
+    const double tokens = context.source.tokens - result.cached;
+    if (source == nullptr || source == result.state ||
+        tokens < min_fetch_tokens)
         return;
     const double transfer_ms =
-        links_.transfer_ms(of.now, of.kind, source->id, made.state->id, tokens);
-    const double read_ms = of.read_ms(of.source.tokens) * made.slowness;
-    const double cost = made.wait_ms + transfer_ms * (1 + transfer_price) +
-                        read_ms * (1 + price_of_reading());
-    if (cost >= made.cost)
+        fetch_links_.transfer_ms(context.now, context.service_info, source->id,
+                                 result.state->id, tokens);
+    const double prefill_ms =
+        context.prefill_ms(context.source.tokens) * result.slowness;
+    const double cost = result.wait_ms +
+                        transfer_ms * (1 + transfer_cost_factor) +
+                        prefill_ms * (1 + prefill_cost_factor());
+    if (cost >= result.cost)
         return;
-    made.cost = cost;
-    made.cached = of.source.tokens;
-    made.read_ms = read_ms;
-    made.fetch =
+    result.cost = cost;
+    result.cached = context.source.tokens;
+    result.prefill_ms = prefill_ms;
+    result.fetch =
         fetch_plan{source->id, source->record.address, tokens, transfer_ms};
 }
 
-void router::weigh_engine(const weighing& of, candidate& made) const
+void router::evaluate_engine(const request_context& context,
+                             candidate& result) const
 {
-    const endpoint_id id = made.state->id;
+    const endpoint_id id = result.state->id;
     const endpoint_work work = ledger_.total(id);
-    const double slots = std::max(1U, made.state->record.slots);
-    made.cached =
-        std::min(cache_.cached(id, of.asked.parts), of.asked.prompt_tokens);
-    made.read_ms = of.read_ms(made.cached) * made.slowness;
-    made.free_slots = slots * known_slots - work.running - work.waiting;
-    made.ms_per_request = of.held.mean_ms() / (slots * known_slots);
-    made.wait_ms =
-        work.unread_ms * made.slowness +
-        of.held.wait_ms(work.running + work.waiting, slots * known_slots);
-    if (work.tokens + of.asked.prompt_tokens > of.kind.memory_tokens)
-        made.wait_ms += to_ms(std::chrono::milliseconds(1000));
-    made.cost = made.wait_ms + made.read_ms * (1 + price_of_reading());
-    weigh_fetch(of, made);
+    const double slots = std::max(1U, result.state->record.slots);
+    result.cached = std::min(cache_.cached(id, context.request.parts),
+                             context.request.prompt_tokens);
+    result.prefill_ms = context.prefill_ms(result.cached) * result.slowness;
+    result.free_slots =
+        slots * usable_slot_fraction - work.running - work.waiting;
+    result.ms_per_request =
+        context.hold_estimate.mean_ms() / (slots * usable_slot_fraction);
+    result.wait_ms =
+        work.unread_ms * result.slowness +
+        context.hold_estimate.wait_ms(work.running + work.waiting,
+                                      slots * usable_slot_fraction);
+    if (work.tokens + context.request.prompt_tokens >
+        context.service_info.memory_tokens)
+        result.wait_ms += to_ms(std::chrono::milliseconds(1000));
+    result.cost =
+        result.wait_ms + result.prefill_ms * (1 + prefill_cost_factor());
+    evaluate_fetch(context, result);
 }
 
-void router::weigh_plain(candidate& made) const
+void router::evaluate_plain(candidate& result) const
 {
-    const unsigned waiting = ledger_.total(made.state->id).waiting;
-    const double slots = std::max(1U, made.state->record.slots);
-    made.read_ms = plain_work_ms * made.slowness;
-    made.free_slots = slots - waiting;
-    made.ms_per_request = made.read_ms / slots;
-    made.wait_ms = std::max(0.0, 1 - made.free_slots) * made.ms_per_request;
-    made.cost = made.wait_ms + made.ms_per_request * (waiting + 1);
+    const unsigned waiting = ledger_.total(result.state->id).waiting;
+    const double slots = std::max(1U, result.state->record.slots);
+    result.prefill_ms = default_plain_work_ms * result.slowness;
+    result.free_slots = slots - waiting;
+    result.ms_per_request = result.prefill_ms / slots;
+    result.wait_ms =
+        std::max(0.0, 1 - result.free_slots) * result.ms_per_request;
+    result.cost = result.wait_ms + result.ms_per_request * (waiting + 1);
 }
 
-router::candidate router::weigh(const weighing& of,
-                                const endpoint_state& at) const
+router::candidate router::evaluate(const request_context& context,
+                                   const endpoint_state& endpoint) const
 {
-    candidate made;
-    made.state = &at;
+    candidate result;
+    result.state = &endpoint;
     if (uses(mechanism::engine_speed))
-        made.slowness = at.health.slowness(of.now);
-    if (of.kind.is_engine())
-        weigh_engine(of, made);
+        result.slowness = endpoint.health.slowness(context.now);
+    if (context.service_info.is_engine())
+        evaluate_engine(context, result);
     else
-        weigh_plain(made);
+        evaluate_plain(result);
     if (uses(mechanism::failure_price))
-        made.cost += at.health.failure_rate(of.now) * failure_price_ms;
-    if (at.record.domain != options_.domain)
-        made.cost += domain_price_ms;
-    const std::uint64_t key =
-        of.asked.parts.empty() ? options_.seed : shared_key(of.asked.parts);
-    made.cost += rank_of(key, at.id) * tie_ms;
-    return made;
+        result.cost +=
+            endpoint.health.failure_rate(context.now) * failure_cost_ms;
+    if (endpoint.record.domain != options_.domain)
+        result.cost += remote_domain_cost_ms;
+    const std::uint64_t key = context.request.parts.empty()
+                                  ? options_.seed
+                                  : shared_key(context.request.parts);
+    result.cost += rank_of(key, endpoint.id) * max_tie_break_ms;
+    return result;
 }
 
-double router::weighing::held_ms() const
+double router::request_context::mean_hold_ms() const
 {
-    return kind.is_engine() ? held.mean_ms() : plain_work_ms;
+    return service_info.is_engine() ? hold_estimate.mean_ms()
+                                    : default_plain_work_ms;
 }
 
-double router::ended_unseen(const weighing& of, const candidate& at) const
+double router::unreported_completions(const request_context& context,
+                                      const candidate& option) const
 {
-    const double slots = at.state->record.slots;
-    return std::min<double>(ledger_.open_elsewhere(at.state->id), slots) *
-           news_age_ms / std::max(1.0, of.held_ms());
+    const double slots = option.state->record.slots;
+    return std::min<double>(ledger_.open_elsewhere(option.state->id), slots) *
+           mean_report_age_ms / std::max(1.0, context.mean_hold_ms());
 }
 
-double router::unseen_requests(const weighing& of,
-                               std::span<const candidate> at) const
+double router::unreported_requests(const request_context& context,
+                                   std::span<const candidate> candidates) const
 {
-    // As many come in a time as are open in it (Little's law).
+    // Little's law: as many requests arrive within the mean hold time as are
+    // open.
     double open = 0;
-    for (const candidate& each : at)
+    for (const candidate& each : candidates)
         open += ledger_.open_elsewhere(each.state->id);
-    const auto known = admissions_.find(of.kind.id);
-    const double weighed_for_sent =
-        known == admissions_.end() ? 1 : known->second.weighed_for_sent(of.now);
-    return open * news_age_ms / std::max(1.0, of.held_ms()) * weighed_for_sent;
+    const auto known = admissions_.find(context.service_info.id);
+    const double evaluated_per_sent =
+        known == admissions_.end()
+            ? 1
+            : known->second.evaluated_per_sent(context.now);
+    return open * mean_report_age_ms / std::max(1.0, context.mean_hold_ms()) *
+           evaluated_per_sent;
 }
 
-double router::admission::weighed_for_sent(time_point now) const
+double router::admission_rates::evaluated_per_sent(time_point now) const
 {
-    // One more of each, so that a quiet instance takes all for sent.
+    // Adding one request to both rates gives a ratio of 1 on an instance
+    // without recent requests.
     const double one = rate_meter::rate_of(1);
     return std::max(1.0,
-                    (weighed.rate_at(now) + one) / (sent.rate_at(now) + one));
+                    (evaluated.rate_at(now) + one) / (sent.rate_at(now) + one));
 }
 
-router::candidate router::draw(const weighing& of, std::vector<candidate> from)
+router::candidate router::draw_candidate(const request_context& context,
+                                         std::vector<candidate> candidates)
 {
     std::vector<endpoint_offer> offers;
-    offers.reserve(from.size());
-    for (const candidate& each : from)
+    offers.reserve(candidates.size());
+    for (const candidate& each : candidates)
     {
         const double wait_ms =
             std::max(0.0, 1 - each.free_slots) * each.ms_per_request;
-        offers.push_back({each.cost - wait_ms,
-                          each.free_slots + ended_unseen(of, each),
-                          each.ms_per_request});
+        offers.push_back(
+            {each.cost - wait_ms,
+             each.free_slots + unreported_completions(context, each),
+             each.ms_per_request});
     }
     const std::vector<double> expected =
-        spread_requests(offers, 1 + unseen_requests(of, from));
+        spread_requests(offers, 1 + unreported_requests(context, candidates));
     std::discrete_distribution<std::size_t> pick(expected.begin(),
                                                  expected.end());
     const std::size_t drawn = pick(random_);
-    candidate best = std::move(from[drawn]);
-    // Some of the others' requests are there before this one.
+    candidate best = std::move(candidates[drawn]);
+    // A random number of the other instances' requests reached the endpoint
+    // before this one.
     std::uniform_real_distribution<double> earlier(0, expected[drawn]);
     const double waiting_known = std::max(0.0, 1 - best.free_slots);
     const double waiting =
@@ -268,36 +301,36 @@
 }
 
 std::optional<router::candidate>
-router::choose(const weighing& of,
-               const std::vector<const endpoint_state*>& from)
+router::choose_endpoint(const request_context& context,
+                        const std::vector<const endpoint_state*>& endpoints)
 {
-    std::vector<candidate> weighed;
-    weighed.reserve(from.size());
-    for (const endpoint_state* state : from)
-        weighed.push_back(weigh(of, *state));
-    if (weighed.empty())
+    std::vector<candidate> evaluated;
+    evaluated.reserve(endpoints.size());
+    for (const endpoint_state* state : endpoints)
+        evaluated.push_back(evaluate(context, *state));
+    if (evaluated.empty())
         return std::nullopt;
-    if (large_fleet_ && of.asked.parts.empty() &&
+    if (large_fleet_ && context.request.parts.empty() &&
         uses(mechanism::unseen_requests))
-        return draw(of, std::move(weighed));
+        return draw_candidate(context, std::move(evaluated));
     return std::move(
-        *std::min_element(weighed.begin(), weighed.end(),
+        *std::min_element(evaluated.begin(), evaluated.end(),
                           [](const candidate& a, const candidate& b)
                           { return a.cost < b.cost; }));
 }
 
-double router::price_of_reading() const
+double router::prefill_cost_factor() const
 {
-    return uses(mechanism::reread_price) ? reread_price : 0;
+    return uses(mechanism::reread_price) ? repeated_prefill_cost_factor : 0;
 }
 
-double router::longest_wait(const request_profile& asked,
-                            const service& kind) const
+double router::max_wait_ms(const request_profile& request,
+                           const service& service_info) const
 {
-    if (!kind.is_engine())
-        return plain_backlog * plain_work_ms;
-    return to_ms(config_->tightest_objective(kind.id)) *
-           allowed_wait(asked.standing, options_.mechanisms);
+    if (!service_info.is_engine())
+        return max_plain_backlog * default_plain_work_ms;
+    return to_ms(config_->tightest_objective(service_info.id)) *
+           allowed_wait_fraction(request.standing, options_.mechanisms);
 }
 
 refusal_decision router::refuse(refusal reason, double pause_ms, double wait_ms)
@@ -311,131 +344,143 @@
 refusal_decision router::refuse_until(refusal reason, duration time)
 {
     static constexpr double least_ms = 100;
-    const double pause = spread_beyond(std::max(least_ms, to_ms(time)));
+    const double pause = add_jitter(std::max(least_ms, to_ms(time)));
     return {reason, milliseconds(static_cast<int>(pause)), 0};
 }
 
-refusal_decision router::refuse_for_load(const request_profile& asked,
+refusal_decision router::refuse_for_load(const request_profile& request,
                                          double wait_ms, double allowed_ms)
 {
-    // Callers come back spread over the time that the backlog takes.
+    // The retry delays spread the callers over the time that the backlog
+    // takes.
     const refusal reason =
-        asked.standing.owed > 1 ? refusal::beyond_share : refusal::overloaded;
-    refusal_decision made = refuse(reason, wait_ms, wait_ms);
-    made.allowed_ms = allowed_ms;
-    return made;
+        request.standing.owed > 1 ? refusal::beyond_share : refusal::overloaded;
+    refusal_decision result = refuse(reason, wait_ms, wait_ms);
+    result.allowed_ms = allowed_ms;
+    return result;
 }
 
 std::vector<const router::endpoint_state*>
-router::fitting(const request_profile& asked, service_id service) const
+router::endpoints_of_release(const request_profile& request,
+                             service_id service) const
 {
     std::vector<const endpoint_state*> result;
     for (const endpoint_state* state : endpoints_of(service))
     {
-        if (!asked.release || *asked.release == state->release)
+        if (!request.release || *request.release == state->release)
             result.push_back(state);
     }
     return result;
 }
 
 refusal_decision router::refuse_without_endpoint(time_point now,
-                                                 const request_profile& asked,
+                                                 const request_profile& request,
                                                  service_id service)
 {
     static constexpr milliseconds soon{500};
-    // A drain takes seconds.
+    // A drain takes seconds to take effect.
     static constexpr milliseconds drained_pause{2000};
-    const std::vector<const endpoint_state*> known = fitting(asked, service);
+    const std::vector<const endpoint_state*> known =
+        endpoints_of_release(request, service);
     const bool is_gone =
-        asked.release && std::all_of(known.begin(), known.end(),
-                                     [](const endpoint_state* each)
-                                     { return each->is_leaving(); });
+        request.release && std::all_of(known.begin(), known.end(),
+                                       [](const endpoint_state* each)
+                                       { return each->is_leaving(); });
     if (is_gone)
         return {refusal::release_gone, soon, 0};
-    if (const auto pause = rest_pause_of(now, known))
+    if (const auto pause = backoff_delay_of(now, known))
         return {refusal::resting, *pause, 0};
-    if (const auto free = warming_pause(now, known))
+    if (const auto free = warmup_delay(now, known))
         return refuse_until(refusal::warming_up, *free);
     if (all_drained(known))
         return refuse(refusal::drained, to_ms(drained_pause), 0);
     return {refusal::no_endpoint, soon, 0};
 }
 
-refusal_decision router::refuse_far_beyond(const request_profile& asked)
+refusal_decision router::refuse_excess_demand(const request_profile& request)
 {
-    // What the account got lately fades; until it is at the limit again, new
-    // requests are refused as well.
-    const double fade_ms = to_ms(rate_meter::averaging) *
-                           std::log(asked.standing.fair / far_beyond);
+    // The recent consumption of the account decays exponentially; requests are
+    // refused until it is back at the limit.
+    const double fade_ms =
+        to_ms(rate_meter::averaging) *
+        std::log(request.standing.fair / far_beyond_share_ratio);
     return refuse(refusal::beyond_share, fade_ms, 0);
 }
 
-routing_decision router::decide(time_point now, request_profile& asked,
-                                service_id wanted,
+routing_decision router::decide(time_point now, request_profile& request,
+                                service_id target_service,
                                 const std::set<endpoint_id>& tried,
                                 bool repeated)
 {
-    if (now >= asked.deadline)
+    if (now >= request.deadline)
         return refusal_decision{refusal::too_late, milliseconds(0), 0};
-    const service* kind = find_service(wanted);
-    if (kind == nullptr)
-        return refuse_without_endpoint(now, asked, wanted);
-    const double allowed = repeated ? std::numeric_limits<double>::infinity()
-                                    : std::min(longest_wait(asked, *kind),
-                                               to_ms(asked.deadline - now));
-    // No wait is short enough, so none is looked for: an account that floods
-    // must not take the processor from others.
+    const service* service_info = find_service(target_service);
+    if (service_info == nullptr)
+        return refuse_without_endpoint(now, request, target_service);
+    const double allowed = repeated
+                               ? std::numeric_limits<double>::infinity()
+                               : std::min(max_wait_ms(request, *service_info),
+                                          to_ms(request.deadline - now));
+    // A negative limit refuses every request, so endpoints are not evaluated:
+    // an account that floods the instance must not take processor time from
+    // other accounts.
     if (allowed < 0)
-        return refuse_far_beyond(asked);
+        return refuse_excess_demand(request);
     ledger_.advance(now);
-    const weighing of = prepare(now, asked, *kind);
-    std::optional<candidate> best =
-        choose(of, usable(now, asked, *kind, tried));
+    const request_context context = make_context(now, request, *service_info);
+    std::optional<candidate> best = choose_endpoint(
+        context, usable_endpoints(now, request, *service_info, tried));
     if (!best)
-        return refuse_without_endpoint(now, asked, wanted);
-    // Not sent to an engine with a shorter wait that would read everything
-    // again: under load that takes more from others than a refusal does.
-    admission& admitted = admissions_[kind->id];
-    admitted.weighed.add(now, 1);
-    const bool is_unknown = waits_for_a_guess(of, *best) &&
-                            best->wait_ms < to_ms(asked.deadline - now);
+        return refuse_without_endpoint(now, request, target_service);
+    // The request is refused rather than sent to an engine with a shorter wait
+    // that would have to repeat the whole prefill: under load that costs other
+    // requests more than the refusal does.
+    admission_rates& admitted = admissions_[service_info->id];
+    admitted.evaluated.add(now, 1);
+    const bool is_unknown = wait_is_unreliable(context, *best) &&
+                            best->wait_ms < to_ms(request.deadline - now);
     if (best->wait_ms > allowed && !is_unknown)
-        return refuse_for_load(asked, best->wait_ms, allowed);
+        return refuse_for_load(request, best->wait_ms, allowed);
     admitted.sent.add(now, 1);
-    placement_decision made = place(of, std::move(*best));
-    made.is_trial = notices_.note_trial(now, made.endpoint);
-    if (made.is_trial)
-        apply_notices(made.hold.endpoint);
-    return made;
+    placement_decision result = make_placement(context, std::move(*best));
+    result.is_trial = notices_.note_trial(now, result.endpoint);
+    if (result.is_trial)
+        apply_notices(result.hold.endpoint);
+    return result;
 }
 
-bool router::waits_for_a_guess(const weighing& of, const candidate& at) const
+bool router::wait_is_unreliable(const request_context& context,
+                                const candidate& option) const
 {
-    // As many readings as the guess counts for outweigh it.
+    // Above this weight, the observations count more than the default
+    // estimate.
     static constexpr double known_weight = 2 * engine_estimator::guess_weight;
-    return of.kind.is_engine() && of.figures.weight < known_weight &&
-           at.free_slots >= 1 && ledger_.total(at.state->id).waiting <= 1;
+    return context.service_info.is_engine() &&
+           context.figures.weight < known_weight && option.free_slots >= 1 &&
+           ledger_.total(option.state->id).waiting <= 1;
 }
 
-placement_decision router::place(const weighing& of, candidate best) const
+placement_decision router::make_placement(const request_context& context,
+                                          candidate best) const
 {
-    placement_decision made;
-    made.endpoint = best.state->record;
-    made.release = best.state->release;
-    made.wait_ms = best.wait_ms;
-    made.cached_tokens = best.cached;
-    made.slowness = best.slowness;
-    made.predicted_ms = best.wait_ms + best.read_ms;
-    made.hold.endpoint = best.state->id;
-    made.hold.tokens = of.asked.prompt_tokens + of.asked.output_tokens;
-    if (!of.kind.is_engine())
-        return made;
-    made.predicted_ms += of.figures.first_ms * best.slowness;
-    made.hold.unread_ms = of.read_ms(best.cached);
-    made.fetch = std::move(best.fetch);
-    if (made.fetch)
-        made.predicted_ms += made.fetch->transfer_ms;
-    return made;
+    placement_decision result;
+    result.endpoint = best.state->record;
+    result.release = best.state->release;
+    result.wait_ms = best.wait_ms;
+    result.cached_tokens = best.cached;
+    result.slowness = best.slowness;
+    result.predicted_ms = best.wait_ms + best.prefill_ms;
+    result.hold.endpoint = best.state->id;
+    result.hold.tokens =
+        context.request.prompt_tokens + context.request.output_tokens;
+    if (!context.service_info.is_engine())
+        return result;
+    result.predicted_ms += context.figures.first_ms * best.slowness;
+    result.hold.unread_ms = context.prefill_ms(best.cached);
+    result.fetch = std::move(best.fetch);
+    if (result.fetch)
+        result.predicted_ms += result.fetch->transfer_ms;
+    return result;
 }
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/lib/direct/router_streams.cpp
+++ b/packages/core/lib/direct/router_streams.cpp
@@ -1,5 +1,5 @@
-// Streams that callers may resume: what is noted when one is sent, and where
-// one that is resumed may go on.
+// Resumable streams: records where they are sent, and resolves the service and
+// release that may continue a resumed one.
 #include "sycamorelock/core/direct/router.hpp"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void router::tell_releases(time_point now)
+void router::update_listed_releases(time_point now)
 {
     std::map<service_id, std::set<release_id>> listed;
     for (const auto& [id, state] : endpoints_)
@@ -27,7 +27,7 @@
     streams_.set_listed(now, listed);
 }
 
-void router::tell_routes(time_point now, const catalogue& newer)
+void router::update_stream_routes(time_point now, const catalogue& newer)
 {
     milliseconds longest{0};
     std::set<service_id> shared;
@@ -62,7 +62,8 @@
                                            known.release}
                        : stream_resolution();
     }
-    // With several services, any of them may have begun it.
+    // If the route has several services, any of them may have begun the
+    // stream.
     if (way.targets.size() != 1)
         return {};
     const service_id service = way.targets.front().service;
@@ -73,25 +74,27 @@
 }
 
 void router::note_stream(time_point now, stream_key key,
-                         const placement_decision& at, unsigned attempt)
+                         const placement_decision& placement, unsigned attempt)
 {
-    const bool moves =
-        streams_.note(now, {key, at.endpoint.service, at.release, attempt});
-    // Reports of a large fleet come often, and each is passed on by others.
+    const bool moves = streams_.note(
+        now, {key, placement.endpoint.service, placement.release, attempt});
+    // Large fleets send no urgent report: their reports are frequent, and each
+    // is forwarded by other instances.
     const bool is_awaited =
-        !large_fleet_ && streams_.must_tell(now, at.endpoint.service);
-    urgent_ = urgent_ || moves || is_awaited;
+        !large_fleet_ && streams_.must_tell(now, placement.endpoint.service);
+    report_is_urgent_ = report_is_urgent_ || moves || is_awaited;
 }
 
 void router::note_resumed(time_point now, stream_key key,
-                          const placement_decision& at)
+                          const placement_decision& placement)
 {
-    streams_.note_resumed(now, key, at.endpoint.service, at.release);
+    streams_.note_resumed(now, key, placement.endpoint.service,
+                          placement.release);
 }
 
 refusal_decision router::refuse_unknown_release()
 {
-    // Others may know it, or be heard again.
+    // Another instance may know the release, or become reachable again.
     static constexpr milliseconds soon{500};
     return refuse(refusal::release_unknown, to_ms(soon), 0);
 }
--- a/packages/core/lib/direct/router_warmup.cpp
+++ b/packages/core/lib/direct/router_warmup.cpp
@@ -1,5 +1,5 @@
-// Endpoints of drained failure domains get nothing new, those that warm up a
-// limited part of the requests.
+// Drains and warm-up: endpoints of drained failure domains receive no new
+// requests, warming endpoints receive them at a limited rate.
 #include "sycamorelock/core/direct/router.hpp"
 
 #include <algorithm>
@@ -11,79 +11,87 @@
 void router::set_drained(time_point now, const std::set<domain_id>& domains,
                          std::span<const domain_drain> ended)
 {
-    drained_ = domains;
+    drained_domains_ = domains;
     for (auto& [id, state] : endpoints_)
-        state.is_drained = drained_.contains(state.record.domain);
+        state.is_drained = drained_domains_.contains(state.record.domain);
     for (const domain_drain& each : ended)
     {
         for (auto& [id, state] : endpoints_)
         {
             if (state.record.domain == each.domain)
-                limit(now, state,
-                      warmup_of(state.record.service) - each.ended_for, false);
+                start_warmup_limit(now, state,
+                                   warmup_duration(state.record.service) -
+                                       each.ended_for,
+                                   false);
         }
     }
 }
 
-bool router::all_drained(listing endpoints)
+bool router::all_drained(endpoint_list endpoints)
 {
-    bool any = false;
+    bool has_drained = false;
     for (const endpoint_state* state : endpoints)
     {
         if (state->is_leaving())
             continue;
         if (!state->is_drained)
             return false;
-        any = true;
+        has_drained = true;
     }
-    return any;
+    return has_drained;
 }
 
-duration router::warmup_of(service_id id) const
+duration router::warmup_duration(service_id id) const
 {
-    const service* kind = config_ ? find_service(id) : nullptr;
-    return kind == nullptr ? duration(0) : duration(kind->warmup);
+    const service* service_info = config_ ? find_service(id) : nullptr;
+    return service_info == nullptr ? duration(0)
+                                   : duration(service_info->warmup);
 }
 
-void router::limit(time_point now, endpoint_state& at, duration left,
-                   bool in_use)
+void router::start_warmup_limit(time_point now, endpoint_state& endpoint,
+                                duration left, bool in_use)
 {
-    slow_start_.note(now, at.id, left, in_use);
-    renew_limit(at);
+    slow_start_.note(now, endpoint.id, left, in_use);
+    update_warmup_limit(endpoint);
 }
 
-void router::renew_limit(endpoint_state& at) const
+void router::update_warmup_limit(endpoint_state& endpoint) const
 {
-    // Without a warm-up of its service an entry's time means nothing.
-    at.limited_until = warmup_of(at.record.service) > duration(0)
-                           ? slow_start_.limited_until(
-                                 at.id, rank_of(options_.self.value(), at.id))
-                           : time_point();
+    // If the service configures no warm-up, the remaining time in an entry is
+    // ignored.
+    endpoint.limited_until =
+        warmup_duration(endpoint.record.service) > duration(0)
+            ? slow_start_.limited_until(
+                  endpoint.id, rank_of(options_.self.value(), endpoint.id))
+            : time_point();
 }
 
-void router::note_warmup(time_point now, endpoint_state& at, bool was_known)
+void router::apply_warmup_entry(time_point now, endpoint_state& endpoint,
+                                bool was_known)
 {
-    // While its entry was missing it may have been down.
-    if (!was_known && slow_start_.listed_again(at.id))
-        limit(now, at, warmup_of(at.record.service), false);
-    if (at.record.warmup_left.count() == 0 ||
-        at.record.revision <= at.warming_revision)
+    // The endpoint may have been down while its entry was missing.
+    if (!was_known && slow_start_.listed_again(endpoint.id))
+        start_warmup_limit(now, endpoint,
+                           warmup_duration(endpoint.record.service), false);
+    if (endpoint.record.warmup_left.count() == 0 ||
+        endpoint.record.revision <= endpoint.warming_revision)
         return;
-    at.warming_revision = at.record.revision;
-    limit(now, at, at.record.warmup_left, was_known && !at.is_drained);
+    endpoint.warming_revision = endpoint.record.revision;
+    start_warmup_limit(now, endpoint, endpoint.record.warmup_left,
+                       was_known && !endpoint.is_drained);
 }
 
 void router::on_warming(time_point now, std::span<const warming_notice> notices)
 {
-    for (const warming_notice& told : notices)
+    for (const warming_notice& notice : notices)
     {
-        const auto found = endpoints_.find(told.endpoint);
+        const auto found = endpoints_.find(notice.endpoint);
         if (found == endpoints_.end() ||
-            told.revision <= found->second.warming_revision)
+            notice.revision <= found->second.warming_revision)
             continue;
         endpoint_state& state = found->second;
-        state.warming_revision = told.revision;
-        limit(now, state, told.left, !state.is_drained);
+        state.warming_revision = notice.revision;
+        start_warmup_limit(now, state, notice.left, !state.is_drained);
     }
 }
 
@@ -94,26 +102,30 @@
         [now](const auto& each) { return each.second.is_limited(now); }));
 }
 
-unsigned router::own_part(time_point now, const endpoint_state& at) const
+unsigned router::warmup_quota(time_point now,
+                              const endpoint_state& endpoint) const
 {
-    const service* kind = find_service(at.record.service);
-    if (kind == nullptr)
+    const service* service_info = find_service(endpoint.record.service);
+    if (service_info == nullptr)
         return 0;
-    const double allowed = kind->warmup_per_second * options_.warmup.overrun +
-                           options_.warmup.slack;
+    const double allowed =
+        service_info->warmup_per_second * options_.warmup.overrun +
+        options_.warmup.slack;
     static constexpr double most = 1e6;
-    return parts_.own_part(
-        now, at.id, static_cast<unsigned>(std::min(std::floor(allowed), most)));
+    return warmup_allowances_.own_part(
+        now, endpoint.id,
+        static_cast<unsigned>(std::min(std::floor(allowed), most)));
 }
 
-bool router::admits(time_point now, const endpoint_state& at,
-                    unsigned chosen) const
+bool router::admits(time_point now, const endpoint_state& endpoint,
+                    unsigned reserved) const
 {
-    return slow_start_.admits(now, at.id, own_part(now, at), chosen);
+    return slow_start_.admits(now, endpoint.id, warmup_quota(now, endpoint),
+                              reserved);
 }
 
-std::optional<duration> router::warming_pause(time_point now,
-                                              listing endpoints) const
+std::optional<duration> router::warmup_delay(time_point now,
+                                             endpoint_list endpoints) const
 {
     std::optional<duration> first;
     for (const endpoint_state* state : endpoints)
@@ -121,28 +133,29 @@
         if (!state->is_usable(now) || !state->is_limited(now))
             continue;
         const duration free =
-            slow_start_.free_in(now, state->id, own_part(now, *state));
+            slow_start_.free_in(now, state->id, warmup_quota(now, *state));
         first = std::min(first.value_or(free), free);
     }
     return first;
 }
 
-void router::written(time_point now, placement_decision& at)
+void router::written(time_point now, placement_decision& placement)
 {
-    const auto found = endpoints_.find(at.hold.endpoint);
+    const auto found = endpoints_.find(placement.hold.endpoint);
     if (found == endpoints_.end() ||
-        warmup_of(found->second.record.service) <= duration(0))
+        warmup_duration(found->second.record.service) <= duration(0))
         return;
-    unreserve(found->second, at);
-    slow_start_.sent(now, at.hold.endpoint);
+    cancel_reservation(found->second, placement);
+    slow_start_.sent(now, placement.hold.endpoint);
 }
 
-void router::unreserve(endpoint_state& at, placement_decision& placed)
+void router::cancel_reservation(endpoint_state& endpoint,
+                                placement_decision& placement)
 {
-    if (!placed.reserved)
+    if (!placement.reserved)
         return;
-    placed.reserved = false;
-    at.chosen -= std::min(at.chosen, 1U);
+    placement.reserved = false;
+    endpoint.reserved_requests -= std::min(endpoint.reserved_requests, 1U);
 }
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/unittests/direct_fixture.hpp
+++ b/packages/core/unittests/direct_fixture.hpp
@@ -1,4 +1,5 @@
-// One router before engines of one service, for tests of single decisions.
+// Fixture for tests of single routing decisions: one router and the engines of
+// one service.
 #pragma once
 
 #include "sycamorelock/core/direct/router.hpp"
@@ -12,15 +13,16 @@
 constexpr time_point start{std::chrono::seconds(1000)};
 inline const service_id drafts = service_id::of("drafts");
 
-/// An engine of that service at an address of its own.
+/// Entry of an engine of the service `drafts`, at an address derived from its
+/// name.
 inline endpoint_record engine_record(const std::string& boot)
 {
-    endpoint_record made;
-    made.boot = boot;
-    made.address = boot + ":1";
-    made.service = drafts;
-    made.slots = 64;
-    return made;
+    endpoint_record record;
+    record.boot = boot;
+    record.address = boot + ":1";
+    record.service = drafts;
+    record.slots = 64;
+    return record;
 }
 
 struct two_engines
@@ -28,38 +30,41 @@
     std::shared_ptr<catalogue> config = std::make_shared<catalogue>();
     router decides;
 
-    /// \param token_bytes memory of a token; with 0 engines cannot fetch.
-    /// \param used mechanisms of the decisions.
+    /// \param tokens_per_second throughput of the service that the
+    /// configuration states.
+    /// \param token_bytes size of the KV cache of a token; engines cannot
+    /// fetch if it is 0.
+    /// \param mechanisms mechanisms that the router uses.
     two_engines(double tokens_per_second, double token_bytes,
-                const mechanism_set& used = {})
-        : decides(options_with(used))
+                const mechanism_set& mechanisms = {})
+        : decides(options_with(mechanisms))
     {
         config->version = 1;
-        service engines;
-        engines.id = drafts;
-        engines.memory_tokens = 600000;
-        engines.token_bytes = token_bytes;
-        engines.link_bytes_per_ms = 50e6;
-        config->services[drafts] = engines;
-        route way;
-        way.kind = route_kind::stream;
-        way.objective = milliseconds(800);
-        way.targets = {{drafts, 1}};
-        config->routes = {way};
+        service engine_service;
+        engine_service.id = drafts;
+        engine_service.memory_tokens = 600000;
+        engine_service.token_bytes = token_bytes;
+        engine_service.link_bytes_per_ms = 50e6;
+        config->services[drafts] = engine_service;
+        route stream_route;
+        stream_route.kind = route_kind::stream;
+        stream_route.objective = milliseconds(800);
+        stream_route.targets = {{drafts, 1}};
+        config->routes = {stream_route};
         config->limits.tokens_per_second = tokens_per_second;
         config->index();
         decides.install(start, config);
         list({"one", "two"});
     }
 
-    static router_options options_with(const mechanism_set& used)
+    static router_options options_with(const mechanism_set& mechanisms)
     {
         router_options options;
-        options.mechanisms = used;
+        options.mechanisms = mechanisms;
         return options;
     }
 
-    /// Lists these engines and no others.
+    /// Replaces the endpoint listing by these engines.
     void list(const std::vector<std::string>& names,
               std::uint64_t started_ms = 0)
     {
@@ -76,15 +81,15 @@
     [[nodiscard]] request_profile ask_for(std::vector<prompt_part> parts,
                                           time_point now = start) const
     {
-        request_profile asked;
-        asked.way = &config->routes.front();
+        request_profile request;
+        request.way = &config->routes.front();
         for (const prompt_part& part : parts)
-            asked.prompt_tokens += part.tokens;
-        asked.parts = std::move(parts);
-        asked.output_tokens = 50;
-        asked.arrived = now;
-        asked.deadline = now + std::chrono::seconds(10);
-        return asked;
+            request.prompt_tokens += part.tokens;
+        request.parts = std::move(parts);
+        request.output_tokens = 50;
+        request.arrived = now;
+        request.deadline = now + std::chrono::seconds(10);
+        return request;
     }
 };
 
--- a/packages/core/unittests/direct_router_test.cpp
+++ b/packages/core/unittests/direct_router_test.cpp
@@ -1,4 +1,4 @@
-// Single decisions of the router.
+// Tests of single routing decisions.
 #include "direct_fixture.hpp"
 
 #include <criterion/criterion.h>
@@ -12,25 +12,26 @@
 const account_id greedy = account_id::of("greedy");
 const account_id modest = account_id::of("modest");
 
-/// Two idle engines, and others that tell what accounts got.
+/// Two idle engines, and another instance that reports the consumption of
+/// client accounts.
 struct fixture : two_engines
 {
     fixture() : two_engines(10000, 0) {}
 
-    request_profile ask(account_id account, time_point now = start)
+    request_profile admit_request(account_id account, time_point now = start)
     {
-        request_profile asked = ask_for({{1, 1000}, {2, 100}}, now);
-        asked.account = account;
-        decides.admit(now, asked);
-        return asked;
+        request_profile request = ask_for({{1, 1000}, {2, 100}}, now);
+        request.account = account;
+        decides.admit(now, request);
+        return request;
     }
 
-    routing_decision decide(request_profile asked, time_point now = start)
+    routing_decision decide(request_profile request, time_point now = start)
     {
-        return decides.decide(now, asked, drafts, {}, false);
+        return decides.decide(now, request, drafts, {}, false);
     }
 
-    void others_report(double greedy_served, double modest_served)
+    void report_consumption(double greedy_served, double modest_served)
     {
         exchange_report report;
         report.sender = "other";
@@ -40,55 +41,58 @@
     }
 };
 
-bool is_placed(const routing_decision& made)
+bool is_placed(const routing_decision& decision)
 {
-    return std::holds_alternative<placement_decision>(made);
+    return std::holds_alternative<placement_decision>(decision);
 }
 
 } // namespace
 
-// The account whose prompts lie at idle engines got three times as much as
-// another that asked for the same.
-Test(direct_router, far_beyond_its_part_an_account_is_refused_at_idle_engines)
+// Guards against an unfair division between accounts with equal demand: an
+// account whose prompts were cached on idle engines received three times as
+// much as another one.
+Test(direct_router,
+     account_far_beyond_its_share_is_refused_although_engines_are_idle)
 {
     fixture fix;
-    fix.others_report(20000, 6000);
-    const routing_decision made = fix.decide(fix.ask(greedy));
-    cr_assert_not(is_placed(made));
-    cr_expect(std::get<refusal_decision>(made).reason == refusal::beyond_share);
-    cr_expect_gt(std::get<refusal_decision>(made).retry_after.count(), 0);
-    cr_expect(is_placed(fix.decide(fix.ask(modest))));
+    fix.report_consumption(20000, 6000);
+    const routing_decision decision = fix.decide(fix.admit_request(greedy));
+    cr_assert_not(is_placed(decision));
+    cr_expect(std::get<refusal_decision>(decision).reason ==
+              refusal::beyond_share);
+    cr_expect_gt(std::get<refusal_decision>(decision).retry_after.count(), 0);
+    cr_expect(is_placed(fix.decide(fix.admit_request(modest))));
 }
 
-Test(direct_router, where_all_demands_fit_nobody_is_refused)
+Test(direct_router, no_account_is_refused_if_all_demands_fit)
 {
     fixture fix;
     exchange_report report;
     report.sender = "other";
     report.demands = {{greedy, 5000, 5000}, {modest, 100, 100}};
     fix.decides.on_report(start, report);
-    cr_expect(is_placed(fix.decide(fix.ask(greedy))));
+    cr_expect(is_placed(fix.decide(fix.admit_request(greedy))));
 }
 
-Test(direct_router, a_prompt_goes_where_its_beginning_was_read)
+Test(direct_router, prompt_is_placed_at_the_engine_with_its_cached_prefix)
 {
     fixture fix;
-    request_profile asked = fix.ask(modest);
-    auto first = std::get<placement_decision>(fix.decide(asked));
-    fix.decides.sent(start, asked, first);
+    request_profile request = fix.admit_request(modest);
+    auto first = std::get<placement_decision>(fix.decide(request));
+    fix.decides.sent(start, request, first);
     const auto again =
-        std::get<placement_decision>(fix.decide(fix.ask(modest)));
+        std::get<placement_decision>(fix.decide(fix.admit_request(modest)));
     cr_expect(again.endpoint.boot == first.endpoint.boot);
     cr_expect_float_eq(again.cached_tokens, 1100, 1e-6);
 }
 
-Test(direct_router, draining_and_tried_endpoints_get_nothing)
+Test(direct_router, draining_and_tried_endpoints_are_not_chosen)
 {
     fixture fix;
-    request_profile asked = fix.ask(modest);
-    const auto first = std::get<placement_decision>(fix.decide(asked));
-    const auto other = std::get<placement_decision>(
-        fix.decides.decide(start, asked, drafts, {first.endpoint.id()}, true));
+    request_profile request = fix.admit_request(modest);
+    const auto first = std::get<placement_decision>(fix.decide(request));
+    const auto other = std::get<placement_decision>(fix.decides.decide(
+        start, request, drafts, {first.endpoint.id()}, true));
     cr_expect(other.endpoint.boot != first.endpoint.boot);
     std::map<std::string, endpoint_record> all;
     for (const char* name : {"one", "two"})
@@ -98,40 +102,41 @@
         all[name].draining = true;
     }
     fix.decides.set_endpoints(start, all);
-    const routing_decision none = fix.decide(asked);
+    const routing_decision none = fix.decide(request);
     cr_assert_not(is_placed(none));
     cr_expect(std::get<refusal_decision>(none).reason == refusal::no_endpoint);
 }
 
-Test(direct_router, repeats_come_out_of_a_bounded_budget)
+Test(direct_router, retries_are_limited_by_the_fleet_budget)
 {
     router_options options;
     options.retry_slack = 50;
     router decides(options);
     decides.set_fleet_size(10);
-    int spent = 0;
-    while (spent < 1000 && decides.spend_retry(drafts))
-        ++spent;
-    // Ten instances that do not hear of each other stay below the slack.
-    cr_expect_leq(spent * 10, 50);
-    cr_expect_geq(spent, 1);
+    int retries = 0;
+    while (retries < 1000 && decides.spend_retry(drafts))
+        ++retries;
+    // Ten instances that receive no reports from each other stay below the
+    // slack.
+    cr_expect_leq(retries * 10, 50);
+    cr_expect_geq(retries, 1);
 }
 
-Test(direct_router, an_engine_that_fails_is_avoided_and_tried_again)
+Test(direct_router, failing_engine_is_avoided_and_used_again_later)
 {
     fixture fix;
-    request_profile asked = fix.ask(modest);
-    auto first = std::get<placement_decision>(fix.decide(asked));
+    request_profile request = fix.admit_request(modest);
+    auto first = std::get<placement_decision>(fix.decide(request));
     for (int i = 0; i < 5; ++i)
     {
         auto failing = first;
-        fix.decides.sent(start, asked, failing);
+        fix.decides.sent(start, request, failing);
         fix.decides.finished(start, failing, attempt_outcome::failed);
     }
-    const auto next = std::get<placement_decision>(fix.decide(asked));
+    const auto next = std::get<placement_decision>(fix.decide(request));
     cr_expect(next.endpoint.boot != first.endpoint.boot);
     const time_point later = start + std::chrono::seconds(60);
-    request_profile late = fix.ask(modest, later);
+    request_profile late = fix.admit_request(modest, later);
     const auto after = std::get<placement_decision>(fix.decide(late, later));
     cr_expect(after.endpoint.boot == first.endpoint.boot);
 }
@@ -139,11 +144,11 @@
 namespace
 {
 
-/// Engines that read ten tokens a ms, of which another instance has sent one
-/// prompt of 3,000 tokens to each.
-struct prompt_elsewhere : two_engines
+/// Engines with a prefill rate of ten tokens per ms. Another instance has sent
+/// one prompt of 3,000 tokens to each.
+struct remote_prompt_fixture : two_engines
 {
-    prompt_elsewhere() : two_engines(20000, 0)
+    remote_prompt_fixture() : two_engines(20000, 0)
     {
         exchange_report report;
         report.sender = "other";
@@ -152,8 +157,8 @@
         decides.on_report(start, report);
     }
 
-    /// Notes first tokens that came as predicted.
-    void learn()
+    /// Reports figures learned from first tokens that arrived as predicted.
+    void report_learned_figures()
     {
         exchange_report report;
         report.sender = "third";
@@ -162,34 +167,37 @@
         exchange_report own;
         decides.fill_report(start, own);
     }
-    bool places(time_point now)
+    bool places_request(time_point now)
     {
-        request_profile asked = ask_for({{1, 1000}, {2, 100}}, now);
-        return is_placed(decides.decide(now, asked, drafts, {}, false));
+        request_profile request = ask_for({{1, 1000}, {2, 100}}, now);
+        return is_placed(decides.decide(now, request, drafts, {}, false));
     }
 };
 
 } // namespace
 
 // Guards against the refusal of the second request of a fleet without other
-// work: what the first one takes is only guessed, and nobody else waits.
-Test(direct_router, one_prompt_of_unknown_length_is_no_reason_to_refuse)
+// work: the prefill time of the first one is only a default estimate, and no
+// other request waits.
+Test(direct_router, single_prompt_of_unknown_prefill_time_causes_no_refusal)
 {
-    prompt_elsewhere fix;
-    cr_expect(fix.places(start));
-    // Nor is time left for more than it.
-    request_profile asked = fix.ask_for({{1, 1000}, {2, 100}});
-    asked.deadline = start + milliseconds(400);
+    remote_prompt_fixture fix;
+    cr_expect(fix.places_request(start));
+    // The request is refused if its deadline is shorter than the predicted
+    // wait.
+    request_profile request = fix.ask_for({{1, 1000}, {2, 100}});
+    request.deadline = start + milliseconds(400);
     cr_expect_not(
-        is_placed(fix.decides.decide(start, asked, drafts, {}, false)));
-    // A queue is a reason, and so is one prompt whose time is known.
+        is_placed(fix.decides.decide(start, request, drafts, {}, false)));
+    // A queue causes a refusal, and so does a single prompt whose prefill time
+    // is known.
     exchange_report queue;
     queue.sender = "other";
     for (const char* name : {"one", "two"})
         queue.work.push_back({endpoint_id::of(name), 600, 5, 0, 3000});
     fix.decides.on_report(start, queue);
-    cr_expect_not(fix.places(start));
-    prompt_elsewhere learned;
-    learned.learn();
-    cr_expect_not(learned.places(start));
+    cr_expect_not(fix.places_request(start));
+    remote_prompt_fixture learned;
+    learned.report_learned_figures();
+    cr_expect_not(learned.places_request(start));
 }
