--- a/packages/core/include/sycamorelock/core/direct/router.hpp
+++ b/packages/core/include/sycamorelock/core/direct/router.hpp
@@ -242,7 +242,7 @@
 
     /// Picks one of the route's services at random, by the weights of its
     /// targets.
-    service_id pick_service(const route& way);
+    service_id pick_service(const route& request_route);
 
     /// Returns why the request must not be sent to the chosen endpoint after
     /// all, given what has been learned since the choice. To be called right
@@ -277,7 +277,7 @@
     /// caller sent none.
     [[nodiscard]] stream_resolution resolve(time_point now,
                                             std::optional<stream_key> key,
-                                            const route& way) const;
+                                            const route& request_route) const;
     /// Records that a resumable stream is sent to an endpoint.
     /// \param attempt number of the attempt, from 1.
     void note_stream(time_point now, stream_key key,
--- a/packages/core/lib/direct/router.cpp
+++ b/packages/core/lib/direct/router.cpp
@@ -282,20 +282,21 @@
                             config_->limits.tokens_per_second);
 }
 
-service_id router::pick_service(const route& way)
+service_id router::pick_service(const route& request_route)
 {
     double sum = 0;
-    for (const route_target& target : way.targets)
+    for (const route_target& target : request_route.targets)
         sum += target.weight;
     std::uniform_real_distribution<double> draw(0, sum);
     double left = draw(random_);
-    for (const route_target& target : way.targets)
+    for (const route_target& target : request_route.targets)
     {
         left -= target.weight;
         if (left < 0)
             return target.service;
     }
-    return way.targets.empty() ? service_id{} : way.targets.back().service;
+    return request_route.targets.empty() ? service_id{}
+                                         : request_route.targets.back().service;
 }
 
 bool router::spend_retry(service_id service)
@@ -354,18 +355,18 @@
     const auto found = endpoints_.find(placement.hold.endpoint);
     if (found != endpoints_.end())
         found->second.health.first_token(now, took_ms, placement.predicted_ms);
-    const auto learns = estimators_.find(placement.endpoint.service);
+    const auto estimator = estimators_.find(placement.endpoint.service);
     const bool is_cold =
         found != endpoints_.end() && found->second.is_limited(now);
-    if (learns == estimators_.end() || placement.fetch || is_cold ||
+    if (estimator == estimators_.end() || placement.fetch || is_cold ||
         !uses(mechanism::learned_figures))
         return;
-    reading seen;
-    seen.cached = placement.cached_tokens;
-    seen.uncached = request.prompt_tokens - placement.cached_tokens;
-    seen.wait_ms = placement.wait_ms;
-    seen.took_ms = (took_ms - placement.wait_ms) / placement.slowness;
-    learns->second.observe(now, seen);
+    reading observed;
+    observed.cached = placement.cached_tokens;
+    observed.uncached = request.prompt_tokens - placement.cached_tokens;
+    observed.wait_ms = placement.wait_ms;
+    observed.took_ms = (took_ms - placement.wait_ms) / placement.slowness;
+    estimator->second.observe(now, observed);
 }
 
 void router::record_hold_time(time_point now,
--- a/packages/core/lib/direct/router_decision.cpp
+++ b/packages/core/lib/direct/router_decision.cpp
@@ -377,8 +377,8 @@
                                                  const request_profile& request,
                                                  service_id service)
 {
-    static constexpr milliseconds soon{500};
-    // A drain takes seconds to take effect.
+    static constexpr milliseconds short_delay{500};
+    // A drain takes several seconds.
     static constexpr milliseconds drained_pause{2000};
     const std::vector<const endpoint_state*> known =
         endpoints_of_release(request, service);
@@ -387,14 +387,14 @@
                                        [](const endpoint_state* each)
                                        { return each->is_leaving(); });
     if (is_gone)
-        return {refusal::release_gone, soon, 0};
+        return {refusal::release_gone, short_delay, 0};
     if (const auto pause = backoff_delay_of(now, known))
         return {refusal::resting, *pause, 0};
     if (const auto free = warmup_delay(now, known))
         return refuse_until(refusal::warming_up, *free);
     if (all_drained(known))
         return refuse(refusal::drained, to_ms(drained_pause), 0);
-    return {refusal::no_endpoint, soon, 0};
+    return {refusal::no_endpoint, short_delay, 0};
 }
 
 refusal_decision router::refuse_excess_demand(const request_profile& request)
--- a/packages/core/lib/direct/router_streams.cpp
+++ b/packages/core/lib/direct/router_streams.cpp
@@ -10,9 +10,10 @@
 namespace
 {
 
-bool leads_to(const route& way, service_id service)
+bool leads_to(const route& request_route, service_id service)
 {
-    return std::any_of(way.targets.begin(), way.targets.end(),
+    return std::any_of(request_route.targets.begin(),
+                       request_route.targets.end(),
                        [service](const route_target& target)
                        { return target.service == service; });
 }
@@ -31,18 +32,19 @@
 {
     milliseconds longest{0};
     std::set<service_id> shared;
-    for (const route& way : newer.routes)
+    for (const route& new_route : newer.routes)
     {
-        if (!way.resumable)
+        if (!new_route.resumable)
             continue;
-        longest = std::max(longest, way.timeout);
-        const route* const before =
-            config_ ? config_->find_route(way.host, way.prefix) : nullptr;
-        for (const route_target& target : way.targets)
+        longest = std::max(longest, new_route.timeout);
+        const route* const old_route =
+            config_ ? config_->find_route(new_route.host, new_route.prefix)
+                    : nullptr;
+        for (const route_target& target : new_route.targets)
         {
-            if (way.targets.size() > 1)
+            if (new_route.targets.size() > 1)
                 shared.insert(target.service);
-            if (before != nullptr && !leads_to(*before, target.service))
+            if (old_route != nullptr && !leads_to(*old_route, target.service))
                 streams_.note_moved(now, target.service);
         }
     }
@@ -51,22 +53,22 @@
 }
 
 stream_resolution router::resolve(time_point now, std::optional<stream_key> key,
-                                  const route& way) const
+                                  const route& request_route) const
 {
     if (key)
     {
         const stream_releases::finding known = streams_.find(now, *key);
         if (known.source != stream_source::unknown)
-            return leads_to(way, known.service)
+            return leads_to(request_route, known.service)
                        ? stream_resolution{known.source, known.service,
                                            known.release}
                        : stream_resolution();
     }
     // If the route has several services, any of them may have begun the
     // stream.
-    if (way.targets.size() != 1)
+    if (request_route.targets.size() != 1)
         return {};
-    const service_id service = way.targets.front().service;
+    const service_id service = request_route.targets.front().service;
     const std::optional<release_id> sole = streams_.sole(now, service);
     if (!sole)
         return {};
@@ -76,13 +78,14 @@
 void router::note_stream(time_point now, stream_key key,
                          const placement_decision& placement, unsigned attempt)
 {
-    const bool moves = streams_.note(
+    const bool replaces_known_release = streams_.note(
         now, {key, placement.endpoint.service, placement.release, attempt});
     // Large fleets send no urgent report: their reports are frequent, and each
     // is forwarded by other instances.
-    const bool is_awaited =
+    const bool others_need_note =
         !large_fleet_ && streams_.must_tell(now, placement.endpoint.service);
-    report_is_urgent_ = report_is_urgent_ || moves || is_awaited;
+    report_is_urgent_ =
+        report_is_urgent_ || replaces_known_release || others_need_note;
 }
 
 void router::note_resumed(time_point now, stream_key key,
@@ -95,8 +98,8 @@
 refusal_decision router::refuse_unknown_release()
 {
     // Another instance may know the release, or become reachable again.
-    static constexpr milliseconds soon{500};
-    return refuse(refusal::release_unknown, to_ms(soon), 0);
+    static constexpr milliseconds short_delay{500};
+    return refuse(refusal::release_unknown, to_ms(short_delay), 0);
 }
 
 } // namespace sycamorelock::core::direct
