--- a/packages/core/include/sycamorelock/core/direct/router.hpp
+++ b/packages/core/include/sycamorelock/core/direct/router.hpp
@@ -541,8 +541,8 @@
     /// any second.
     [[nodiscard]] unsigned warmup_quota(time_point now,
                                         const endpoint_state& endpoint) const;
-    /// Time until one of these endpoints may receive a request, if all usable
-    /// ones are warming up; empty otherwise.
+    /// Time until the first of these endpoints may receive a request; empty if
+    /// no usable one is warming up.
     [[nodiscard]] std::optional<duration>
     warmup_delay(time_point now, endpoint_list endpoints) const;
     /// Same as `rest_pause`, for a given list of endpoints.
--- a/packages/core/lib/direct/router.cpp
+++ b/packages/core/lib/direct/router.cpp
@@ -480,11 +480,12 @@
 std::vector<cache_note> router::copy_caches(time_point now) const
 {
     std::vector<cache_note> known;
-    const std::size_t most =
+    const std::size_t max_parts_per_engine =
         max_copied_parts / std::max<std::size_t>(1, endpoints_.size());
     for (const auto& [id, state] : endpoints_)
     {
-        std::vector<prompt_part> parts = cache_.shared(now, id, most);
+        std::vector<prompt_part> parts =
+            cache_.shared(now, id, max_parts_per_engine);
         if (!parts.empty())
             known.push_back({id, std::move(parts), milliseconds(0)});
     }
--- a/packages/core/lib/direct/router_decision.cpp
+++ b/packages/core/lib/direct/router_decision.cpp
@@ -91,10 +91,11 @@
     {
         if (request.release && *request.release != state->release)
             continue;
-        const bool is_open = state->is_usable(now) &&
-                             (!state->is_limited(now) ||
-                              admits(now, *state, state->reserved_requests));
-        if (is_open && (tried.empty() || !tried.contains(state->id)))
+        const bool accepts_requests =
+            state->is_usable(now) &&
+            (!state->is_limited(now) ||
+             admits(now, *state, state->reserved_requests));
+        if (accepts_requests && (tried.empty() || !tried.contains(state->id)))
             result.push_back(state);
     }
     if (!large_fleet_ || !service_info.is_engine() ||
@@ -114,19 +115,19 @@
     if (!service_info.can_fetch() || request.parts.empty() ||
         !uses(mechanism::prompt_fetch))
         return best;
-    double best_busy = 0;
+    double best_busy_ms = 0;
     for (const endpoint_state* state : endpoints_of(service_info.id))
     {
         if (!state->is_fetch_source(now))
             continue;
         const double tokens = cache_.ready(now, state->id, request.parts);
-        const double busy = fetch_links_.busy_ms(now, state->id);
-        const bool better =
-            tokens > best.tokens || (tokens == best.tokens && busy < best_busy);
+        const double busy_ms = fetch_links_.busy_ms(now, state->id);
+        const bool better = tokens > best.tokens ||
+                            (tokens == best.tokens && busy_ms < best_busy_ms);
         if (tokens < min_fetch_tokens || !better)
             continue;
         best = {state, tokens};
-        best_busy = busy;
+        best_busy_ms = busy_ms;
     }
     return best;
 }
@@ -187,6 +188,7 @@
         work.unread_ms * result.slowness +
         context.hold_estimate.wait_ms(work.running + work.waiting,
                                       slots * usable_slot_fraction);
+    // A prompt that does not fit into the free memory waits until requests end.
     if (work.tokens + context.request.prompt_tokens >
         context.service_info.memory_tokens)
         result.wait_ms += to_ms(std::chrono::milliseconds(1000));
@@ -335,16 +337,16 @@
 
 refusal_decision router::refuse(refusal reason, double pause_ms, double wait_ms)
 {
-    static constexpr double least_ms = 100;
+    static constexpr double min_delay_ms = 100;
     std::uniform_real_distribution<double> spread(0.5, 1.5);
-    const double pause = std::max(least_ms, pause_ms) * spread(random_);
+    const double pause = std::max(min_delay_ms, pause_ms) * spread(random_);
     return {reason, milliseconds(static_cast<int>(pause)), wait_ms};
 }
 
 refusal_decision router::refuse_until(refusal reason, duration time)
 {
-    static constexpr double least_ms = 100;
-    const double pause = add_jitter(std::max(least_ms, to_ms(time)));
+    static constexpr double min_delay_ms = 100;
+    const double pause = add_jitter(std::max(min_delay_ms, to_ms(time)));
     return {reason, milliseconds(static_cast<int>(pause)), 0};
 }
 
@@ -401,10 +403,10 @@
 {
     // The recent consumption of the account decays exponentially; requests are
     // refused until it is back at the limit.
-    const double fade_ms =
+    const double decay_ms =
         to_ms(rate_meter::averaging) *
         std::log(request.standing.fair / far_beyond_share_ratio);
-    return refuse(refusal::beyond_share, fade_ms, 0);
+    return refuse(refusal::beyond_share, decay_ms, 0);
 }
 
 routing_decision router::decide(time_point now, request_profile& request,
@@ -417,14 +419,14 @@
     const service* service_info = find_service(target_service);
     if (service_info == nullptr)
         return refuse_without_endpoint(now, request, target_service);
-    const double allowed = repeated
-                               ? std::numeric_limits<double>::infinity()
-                               : std::min(max_wait_ms(request, *service_info),
-                                          to_ms(request.deadline - now));
+    const double allowed_ms =
+        repeated ? std::numeric_limits<double>::infinity()
+                 : std::min(max_wait_ms(request, *service_info),
+                            to_ms(request.deadline - now));
     // A negative limit refuses every request, so endpoints are not evaluated:
     // an account that floods the instance must not take processor time from
     // other accounts.
-    if (allowed < 0)
+    if (allowed_ms < 0)
         return refuse_excess_demand(request);
     ledger_.advance(now);
     const request_context context = make_context(now, request, *service_info);
@@ -439,8 +441,8 @@
     admitted.evaluated.add(now, 1);
     const bool is_unknown = wait_is_unreliable(context, *best) &&
                             best->wait_ms < to_ms(request.deadline - now);
-    if (best->wait_ms > allowed && !is_unknown)
-        return refuse_for_load(request, best->wait_ms, allowed);
+    if (best->wait_ms > allowed_ms && !is_unknown)
+        return refuse_for_load(request, best->wait_ms, allowed_ms);
     admitted.sent.add(now, 1);
     placement_decision result = make_placement(context, std::move(*best));
     result.is_trial = notices_.note_trial(now, result.endpoint);
@@ -452,8 +454,8 @@
 bool router::wait_is_unreliable(const request_context& context,
                                 const candidate& option) const
 {
-    // Above this weight, the observations count more than the default
-    // estimate.
+    // From this weight on, the observations count at least as much as the
+    // default estimate.
     static constexpr double known_weight = 2 * engine_estimator::guess_weight;
     return context.service_info.is_engine() &&
            context.figures.weight < known_weight && option.free_slots >= 1 &&
--- a/packages/core/lib/direct/router_warmup.cpp
+++ b/packages/core/lib/direct/router_warmup.cpp
@@ -111,10 +111,10 @@
     const double allowed =
         service_info->warmup_per_second * options_.warmup.overrun +
         options_.warmup.slack;
-    static constexpr double most = 1e6;
+    static constexpr double max_quota = 1e6;
     return warmup_allowances_.own_part(
         now, endpoint.id,
-        static_cast<unsigned>(std::min(std::floor(allowed), most)));
+        static_cast<unsigned>(std::min(std::floor(allowed), max_quota)));
 }
 
 bool router::admits(time_point now, const endpoint_state& endpoint,
@@ -127,16 +127,16 @@
 std::optional<duration> router::warmup_delay(time_point now,
                                              endpoint_list endpoints) const
 {
-    std::optional<duration> first;
+    std::optional<duration> shortest_delay;
     for (const endpoint_state* state : endpoints)
     {
         if (!state->is_usable(now) || !state->is_limited(now))
             continue;
-        const duration free =
+        const duration delay =
             slow_start_.free_in(now, state->id, warmup_quota(now, *state));
-        first = std::min(first.value_or(free), free);
+        shortest_delay = std::min(shortest_delay.value_or(delay), delay);
     }
-    return first;
+    return shortest_delay;
 }
 
 void router::written(time_point now, placement_decision& placement)
