--- a/packages/core/include/sycamorelock/core/direct/cache_copies.hpp
+++ b/packages/core/include/sycamorelock/core/direct/cache_copies.hpp
@@ -1,4 +1,5 @@
-// When an instance asks others what engines keep, and when it may answer.
+// When an instance requests a copy of another instance's KV cache estimate, and
+// when it may provide one.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -8,42 +9,48 @@
 namespace sycamorelock::core::direct
 {
 
-/// An instance that starts knows of no engine what it keeps, and has prompts
-/// read again that another engine keeps. It asks in its reports, and one of
-/// those that know sends a copy. On a day with kills and a release, one to
-/// three seconds after a start 0.27 of the prompts' tokens were kept instead of
-/// 0.19, and 0.31 instead of 0.27 in the seven seconds after (one play each).
+/// A starting instance does not know what the engines have cached, so it sends
+/// prompts to engines that must repeat a prefill that another engine has done.
+/// It requests a copy of the estimate in its reports, and one of the instances
+/// that have one responds. In a run with instance crashes and a release, the
+/// share of prompt tokens found in a cache rose from 0.19 to 0.27 in the period
+/// one to three seconds after a start, and from 0.27 to 0.31 in the seven
+/// seconds after that (one run each).
 class cache_copies
 {
   public:
-    /// An instance that got no copy knows after this time what matters: notes
-    /// of that long name nearly every shared part that is in use.
-    static constexpr duration settled_after = std::chrono::seconds(5);
-    /// It asks for no longer than this: if nobody knew by then, all have
-    /// started.
-    static constexpr duration patience = std::chrono::seconds(2);
-
-    /// Engines can be told apart from now on; later calls have no effect.
+    /// Age at which the estimate of an instance that received no copy is
+    /// complete enough to pass on: placements over this time include nearly
+    /// every shared part that is in use.
+    static constexpr duration complete_after = std::chrono::seconds(5);
+    /// Longest time for which a copy is requested. If none has come by then, no
+    /// other instance has an estimate, as when the whole fleet starts.
+    static constexpr duration request_period = std::chrono::seconds(2);
+
+    /// Records that the endpoints are known, from which time on estimates are
+    /// possible. Later calls have no effect.
     void began(time_point now)
     {
         if (!began_at_)
             began_at_ = now;
     }
-    /// A copy has come.
-    void arrived() { informed_ = true; }
+    /// Records that a copy has arrived.
+    void arrived() { has_copy_ = true; }
 
+    /// Whether reports should request a copy.
     [[nodiscard]] bool wanted(time_point now) const
     {
-        return began_at_ && !informed_ && now - *began_at_ < patience;
+        return began_at_ && !has_copy_ && now - *began_at_ < request_period;
     }
+    /// Whether the own estimate is complete enough to be sent to others.
     [[nodiscard]] bool may_give(time_point now) const
     {
-        return informed_ || (began_at_ && now - *began_at_ >= settled_after);
+        return has_copy_ || (began_at_ && now - *began_at_ >= complete_after);
     }
 
   private:
     std::optional<time_point> began_at_;
-    bool informed_ = false;
+    bool has_copy_ = false;
 };
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/include/sycamorelock/core/direct/engine_estimator.hpp
+++ b/packages/core/include/sycamorelock/core/direct/engine_estimator.hpp
@@ -1,5 +1,6 @@
-// How long the engines of a service take to read prompts, learned from first
-// tokens. Operators name no such figures, and engines differ by deployment.
+// Online estimate of the prefill time of a service's engines, from observed
+// times to first token. The configuration has no such parameters, and they
+// differ between deployments.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -10,69 +11,81 @@
 namespace sycamorelock::core::direct
 {
 
-/// What an engine takes for a prompt, in ms.
+/// Linear cost model of an engine's prefill, in ms.
 struct engine_figures
 {
-    /// From the start of its work to the first token, besides reading.
+    /// Fixed time from the start of the engine's work to the first token,
+    /// excluding prefill.
     double first_ms = 0;
+    /// Prefill time per token.
     double ms_per_token = 0;
-    /// Each token that is read attends to all before it; per million pairs.
+    /// Attention cost: each processed token attends to all tokens before it.
+    /// In ms per million such pairs.
     double ms_per_million_pairs = 0;
-    /// Observations behind the figures; older ones count less.
+    /// Number of observations behind the model, discounted by age.
     double weight = 0;
 
-    /// Time to read the rest of a prompt of which the beginning is kept.
+    /// Prefill time, in ms, of `uncached` tokens that follow `cached` tokens
+    /// whose KV cache is reused.
     [[nodiscard]] double read_ms(double cached, double uncached) const;
 };
 
-/// One first token, as far as the figures explain it.
+/// One observed time to first token and the inputs of the model for it. Token
+/// counts are those of the prompt.
 struct reading
 {
     double cached = 0;
     double uncached = 0;
-    /// Predicted wait for earlier prompts. The longer, the less is known.
+    /// Predicted wait for earlier prompts. Observations with longer waits are
+    /// less reliable and get a lower weight.
     double wait_ms = 0;
-    /// From the start of the engine's work: time since it was sent, without the
-    /// predicted wait and the engine's own slowness.
+    /// Time from the start of the engine's work to the first token: time since
+    /// the request was sent minus the predicted wait, divided by the engine's
+    /// slowdown factor.
     double took_ms = 0;
 };
 
-/// Least squares over the readings of the last quarter of a minute, in which
-/// readings count less the further they are from what is expected: predictions
-/// miss waits that are not known yet by hundreds of ms, and squares would
-/// follow those.
+/// Robust least squares with exponential forgetting (time constant 15 s). An
+/// observation's weight falls with its residual: waits that are not known yet
+/// shift observations by hundreds of ms, and plain least squares would follow
+/// such outliers.
 class engine_estimator
 {
   public:
-    /// Readings older than this count e times less: long enough for some
-    /// hundred of them, short enough to follow other engines after a release.
-    static constexpr duration memory = std::chrono::seconds(15);
-    /// Figures told by others that are older say nothing any more.
-    static constexpr duration report_life = std::chrono::seconds(5);
-    /// Readings that the first guess counts for.
+    /// Time constant of the exponential forgetting: long enough for some
+    /// hundred observations, short enough to follow a change of the engines
+    /// after a release.
+    static constexpr duration decay_time = std::chrono::seconds(15);
+    /// Models reported by other instances are dropped at this age.
+    static constexpr duration report_lifetime = std::chrono::seconds(5);
+    /// Weight of the prior, as a number of observations.
     static constexpr double guess_weight = 4;
 
-    /// What holds before anything is observed.
-    /// \param tokens_per_ms a rate that engines reach for certain, as the
-    /// throughput that operators name; 0 if they name none.
+    /// Sets the prior, which applies before anything is observed.
+    /// \param tokens_per_ms a prefill rate that engines reach for certain, such
+    /// as the configured throughput; 0 if none is configured.
     void set_guess(double tokens_per_ms);
 
-    void observe(time_point now, const reading& seen);
-    /// Figures that another instance observed.
-    void report(time_point now, instance_id from, const engine_figures& told);
+    /// Adds an observation of this instance.
+    void observe(time_point now, const reading& sample);
+    /// Stores the model that another instance fitted to its observations.
+    void report(time_point now, instance_id from, const engine_figures& model);
 
-    /// Works the figures out anew, and returns those of own readings alone, for
-    /// others. To be called a few times a second.
+    /// Recomputes the model and returns the one fitted to this instance's
+    /// observations alone, to be reported to other instances. To be called a
+    /// few times a second.
     engine_figures refresh(time_point now);
-    /// Figures to decide by: own readings, those of others, and the guess.
+    /// The model for routing decisions: combines this instance's observations,
+    /// unexpired reports of other instances and the prior.
     [[nodiscard]] const engine_figures& figures() const { return current_; }
-    /// Figures from own readings alone, for others.
+    /// The model fitted to this instance's observations alone, to be reported
+    /// to other instances.
     [[nodiscard]] engine_figures own(time_point now) const;
 
   private:
     static constexpr std::size_t terms = 3;
     using vector = std::array<double, terms>;
-    struct told_figures
+    struct reported_figures
     {
         time_point at;
         engine_figures figures;
@@ -81,16 +94,17 @@
     [[nodiscard]] engine_figures fit() const;
     [[nodiscard]] double age_factor(time_point now) const;
 
-    /// Sums of weighted products of the terms, and of terms and times.
+    /// Normal equations: weighted sums of the products of the terms, and of the
+    /// products of terms and observed times.
     std::array<vector, terms> products_{};
     vector times_{};
     double weight_ = 0;
-    /// What the figures usually miss by, in ms. Readings that miss by more
-    /// count less.
+    /// Running estimate of the absolute residual, in ms. Observations with
+    /// larger residuals get a lower weight.
     double scale_ms_ = 10;
     time_point updated_at_;
-    engine_figures guess_;
-    std::map<instance_id, told_figures> told_;
+    engine_figures prior_;
+    std::map<instance_id, reported_figures> reported_;
     engine_figures current_;
 };
 
--- a/packages/core/include/sycamorelock/core/direct/load_ledger.hpp
+++ b/packages/core/include/sycamorelock/core/direct/load_ledger.hpp
@@ -1,5 +1,5 @@
-// Work that the fleet has sent to each endpoint: this instance's own requests
-// exactly, those of the other instances as they last told.
+// Open work that the fleet has sent to each endpoint: exact for this instance's
+// own requests, and as last reported for those of the other instances.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -15,13 +15,15 @@
 struct endpoint_work
 {
     endpoint_id endpoint;
-    /// Engine time, in ms, of prompts whose first token is still due.
+    /// Remaining prefill time, in ms, of prompts without a first token. Does
+    /// not include the endpoint's slowdown factor.
     double unread_ms = 0;
-    /// Requests whose first token is still due, or plain requests.
+    /// Requests to engines that have no first token yet, or open requests to a
+    /// plain service.
     unsigned waiting = 0;
-    /// Streams that have begun.
+    /// Streams whose first token has arrived.
     unsigned running = 0;
-    /// Tokens in memory of all of these.
+    /// KV cache size of all of these requests, in tokens.
     double tokens = 0;
 
     endpoint_work& operator+=(const endpoint_work& other)
@@ -32,7 +34,7 @@
         tokens += other.tokens;
         return *this;
     }
-    /// Takes out what was added before.
+    /// Subtracts work that was added before; no member falls below 0.
     endpoint_work& operator-=(const endpoint_work& other)
     {
         unread_ms = std::max(0.0, unread_ms - other.unread_ms);
@@ -44,55 +46,66 @@
     [[nodiscard]] bool idle() const { return waiting == 0 && running == 0; }
 };
 
+/// Sums the open work of this instance and of the other instances by endpoint.
 class load_ledger
 {
   public:
-    /// A report that is older says nothing any more: within this time most
-    /// first tokens have come. In units of the report period (100 ms) it
-    /// bridges ten lost reports.
-    static constexpr duration report_life = std::chrono::milliseconds(1000);
+    /// Reports are dropped at this age, within which most of the reported
+    /// prompts get their first token. At a report period of 100 ms this
+    /// tolerates ten lost reports.
+    static constexpr duration report_lifetime = std::chrono::milliseconds(1000);
 
-    /// What one request holds at its endpoint.
+    /// Work that one open request adds to its endpoint.
     struct hold
     {
         endpoint_id endpoint;
+        /// Predicted prefill time, in ms, without the slowdown factor.
         double unread_ms = 0;
+        /// KV cache size of the prompt and the expected output, in tokens.
         double tokens = 0;
+        /// Whether the first token has arrived.
         bool begun = false;
-        /// When the endpoint is thought to begin to read the prompt, and how
-        /// much longer than `unread_ms` it takes, as a factor.
+        /// Predicted start of the prefill. With the default, the whole prompt
+        /// counts as remaining until the first token.
         time_point reads_from = time_point::max();
+        /// The endpoint's slowdown factor: observed over predicted time.
         double slowness = 1;
-        /// Assigned when it is opened.
+        /// Assigned by open().
         std::uint64_t number = 0;
     };
 
-    void open(hold& taken);
-    void begin(hold& held);
-    void close(const hold& held);
-    /// Prompts are read on up to this time.
-    void advance(time_point now) { now_ = now; }
-
-    /// Takes the whole state of another instance.
+    /// Adds a request that was sent to its endpoint.
+    void open(hold& request);
+    /// Records the first token of a request; later calls have no effect.
+    void begin(hold& request);
+    /// Removes a request that has ended.
+    void close(const hold& request);
+    /// Sets the time as of which the progress of prefills is computed.
+    void advance(time_point now) { progress_at_ = now; }
+
+    /// Replaces the reported work of another instance by `work`, which is its
+    /// complete state.
     void report(time_point now, instance_id from,
                 const std::vector<endpoint_work>& work);
+    /// Drops the report of an instance that has left.
     void forget_instance(instance_id gone) { reports_.erase(gone); }
 
-    /// Drops old reports and sums the rest up. To be called before a series of
-    /// questions, at least every report period.
+    /// Drops expired reports and recomputes the sums of the others. To be
+    /// called before a series of queries, at least every report period.
     void refresh(time_point now);
 
     /// Work of the whole fleet at an endpoint.
     [[nodiscard]] endpoint_work total(endpoint_id endpoint) const;
 
-    /// Requests that the other instances have open at an endpoint, as they last
-    /// told.
+    /// Number of requests that the other instances have open at an endpoint, as
+    /// last reported.
     [[nodiscard]] unsigned open_elsewhere(endpoint_id endpoint) const;
 
-    /// Requests that the other instances have open, as they last told.
+    /// Number of requests that the other instances have open at all endpoints,
+    /// as last reported.
     [[nodiscard]] unsigned open_elsewhere() const;
 
-    /// This instance's own work, for its report.
+    /// Open work of this instance by endpoint, for its report.
     [[nodiscard]] std::vector<endpoint_work> own() const;
 
   private:
@@ -101,29 +114,31 @@
         time_point at;
         std::vector<endpoint_work> work;
     };
-    /// A prompt that is still to be read, or partly.
-    struct unread_prompt
+    /// A prompt without a first token.
+    struct pending_prompt
     {
         std::uint64_t number = 0;
+        /// Predicted prefill time without the slowdown factor.
         double ms = 0;
         time_point reads_from;
         double slowness = 1;
 
-        [[nodiscard]] double left_ms(time_point now) const;
+        /// Prefill time that remains, without the slowdown factor.
+        [[nodiscard]] double remaining_ms(time_point now) const;
     };
     struct own_work
     {
-        /// Without `unread_ms`.
+        /// Excludes `unread_ms`, which is computed from `pending`.
         endpoint_work sum;
-        std::vector<unread_prompt> unread;
+        std::vector<pending_prompt> pending;
     };
 
-    /// The own work at an endpoint as it is now.
-    [[nodiscard]] endpoint_work as_of_now(const own_work& work) const;
-    static void has_read(own_work& work, const hold& held);
+    /// This instance's work at an endpoint as of the last advance().
+    [[nodiscard]] endpoint_work current_work(const own_work& work) const;
+    static void erase_prompt(own_work& work, const hold& request);
 
-    time_point now_;
-    std::uint64_t opened_ = 0;
+    time_point progress_at_;
+    std::uint64_t last_number_ = 0;
     std::map<endpoint_id, own_work> own_;
     std::map<endpoint_id, endpoint_work> others_;
     std::map<instance_id, instance_report> reports_;
--- a/packages/core/include/sycamorelock/core/direct/mechanism.hpp
+++ b/packages/core/include/sycamorelock/core/direct/mechanism.hpp
@@ -1,5 +1,5 @@
-// Parts of the decisions that operators can switch off one by one, to measure
-// what each is worth or to rule one out as a cause.
+// Optional parts of the routing decision. Operators can switch them off one by
+// one, to measure the effect of each or to rule it out as the cause of a fault.
 #pragma once
 
 #include <array>
@@ -11,36 +11,48 @@
 namespace sycamorelock::core::direct
 {
 
+/// Optional parts of the routing decision. Each comment describes the behaviour
+/// while the mechanism is on.
 enum class mechanism : std::uint8_t
 {
-    /// Prompts are fetched from the engine that keeps them.
+    /// An engine may fetch a prompt's KV cache from another engine that stores
+    /// it, instead of repeating the prefill.
     prompt_fetch,
-    /// Figures of engines are learned; without it the operators' throughput
-    /// stands for all.
+    /// Prefill times and slot hold times of engines are estimated from observed
+    /// requests. When off, defaults apply, with the prefill rate taken from the
+    /// configured throughput.
     learned_figures,
-    /// Others are told at once of a long prompt.
+    /// A long prompt is reported to the other instances at once instead of with
+    /// the next periodic report.
     urgent_reports,
-    /// Accounts beyond what they are owed are refused earlier.
+    /// Client accounts that exceed their fair share are refused at shorter
+    /// waits than others.
     fair_shares,
-    /// Accounts far beyond their part are refused before engines are weighed.
+    /// Client accounts that exceed their fair share by far are refused before
+    /// endpoints are compared.
     far_beyond,
-    /// In a large fleet a prompt has a few engines.
+    /// In a large fleet, each shared prompt prefix is limited to a few engines.
     prompt_homes,
-    /// Reading again what another engine keeps counts more than its delay.
+    /// A placement's cost counts prefill time at more than the delay that it
+    /// adds to the request, since a prefill also occupies the engine.
     reread_price,
-    /// Engines' own speeds are learned.
+    /// Each endpoint's slowdown factor is part of its predicted times.
     engine_speed,
-    /// Endpoints that failed lately are avoided.
+    /// Recent failures add to the cost of an endpoint.
     failure_price,
-    /// An instance that starts is told what engines keep.
+    /// A starting instance receives a copy of the estimated contents of the
+    /// engines' KV caches from another instance.
     cache_copies,
-    /// In a large fleet, requests without a described prompt allow for those
-    /// that others have sent since the last news.
+    /// In a large fleet, placement of a request without a described prompt
+    /// accounts for the requests that other instances are expected to have sent
+    /// since their last reports.
     unseen_requests,
-    /// Prompts that engines are reading count for what is left of them.
+    /// A prompt whose prefill is in progress counts only with its predicted
+    /// remaining time.
     reading_progress,
 };
 
+/// Name of a mechanism in settings.
 struct mechanism_name
 {
     mechanism which;
@@ -62,7 +74,7 @@
     mechanism_name{mechanism::reading_progress, "reading_progress"},
 };
 
-/// The mechanism of a name; nothing if there is none.
+/// Returns the mechanism with this name, or nullopt if there is none.
 constexpr std::optional<mechanism> mechanism_of(std::string_view name)
 {
     for (const mechanism_name& each : mechanism_names)
@@ -73,7 +85,7 @@
     return std::nullopt;
 }
 
-/// Which mechanisms are in use. All are, unless switched off.
+/// The set of mechanisms that are on. All are, unless switched off.
 class mechanism_set
 {
   public:
--- a/packages/core/include/sycamorelock/core/direct/prefix_cache.hpp
+++ b/packages/core/include/sycamorelock/core/direct/prefix_cache.hpp
@@ -1,5 +1,6 @@
-// What each engine is believed to keep of the prompts it has read. An estimate
-// from placements only: engines tell late, with gaps, and each question costs.
+// Estimate of the prompt prefixes in each engine's KV cache. It rests on
+// placements alone: what engines report of their caches is late and incomplete,
+// and each query has a cost.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -13,49 +14,56 @@
 namespace sycamorelock::core::direct
 {
 
-/// Part of a prompt. An engine reuses a part that it keeps if it also keeps all
-/// parts before it in the prompt.
+/// Part of a prompt. An engine reuses a cached part only if all parts before it
+/// in the prompt are cached too.
 struct prompt_part
 {
     std::uint64_t key = 0;
     double tokens = 0;
 };
 
-/// Mixes text into the key of what came before it; 0 to begin.
+/// Extends the key of the parts before by `part_id`, with 64-bit FNV-1a.
+/// \param before 0 for the first part.
 std::uint64_t extend_key(std::uint64_t before, std::string_view part_id);
 
-/// Key of a part by its own id, as engines list what they keep.
+/// Key of a part by its own id alone, as engines list their cached parts.
 inline std::uint64_t key_of_part(std::string_view part_id)
 {
     return extend_key(0, part_id);
 }
 
+/// Model of the engines' KV caches, with least-recently-used eviction.
 class prefix_cache
 {
   public:
-    /// Notes that an engine was told to read these parts. `capacity` is the
-    /// part of its memory, in tokens, that is left for what does not run.
-    /// \param ready_at when it will have read them.
+    /// Records that a prompt of these parts was sent to an engine. Has no
+    /// effect if the prompt exceeds `capacity`, since an engine rejects it.
+    /// \param capacity part of the engine's KV cache, in tokens, that is left
+    /// for prompts of requests that have ended.
+    /// \param ready_at predicted end of the prefill.
     void touch(endpoint_id engine, std::span<const prompt_part> parts,
                double capacity, time_point ready_at = {});
 
-    /// Tokens at the beginning of a prompt that the engine need not read for a
-    /// request that comes after those it has.
+    /// Length, in tokens, of the prompt's prefix that the engine will have
+    /// cached once the requests already sent to it have had their prefill.
     [[nodiscard]] double cached(endpoint_id engine,
                                 std::span<const prompt_part> parts) const;
-    /// Those of them that it has read by now, so that others can fetch them.
+    /// Length, in tokens, of the prompt's prefix whose prefill has ended by
+    /// `now`, so that other engines can fetch it.
     [[nodiscard]] double ready(time_point now, endpoint_id engine,
                                std::span<const prompt_part> parts) const;
 
-    /// Parts that the engine keeps by now and that more than one request had,
-    /// at most so many, most recently used first.
+    /// Parts that the engine has cached by `now` and that more than one request
+    /// contained, at most `max_parts` of them, most recently used first.
     [[nodiscard]] std::vector<prompt_part>
-    shared(time_point now, endpoint_id engine, std::size_t most) const;
-    /// Takes over what another instance knew of an engine, in that order, as
-    /// older than all that is known here.
+    shared(time_point now, endpoint_id engine, std::size_t max_parts) const;
+    /// Adds another instance's estimate of an engine's cache. The parts rank in
+    /// their order behind all known parts, as less recently used. Stops at the
+    /// first part that would exceed `capacity`.
     void adopt(endpoint_id engine, std::span<const prompt_part> parts,
                double capacity);
 
+    /// Drops all parts of an engine that was removed or restarted.
     void forget(endpoint_id engine) { engines_.erase(engine); }
 
   private:
@@ -64,7 +72,7 @@
         std::uint64_t key = 0;
         double tokens = 0;
         time_point ready_at;
-        /// More than one request had it.
+        /// Whether more than one request contained it.
         bool shared = false;
     };
     struct engine_cache
--- a/packages/core/include/sycamorelock/core/direct/prompt_homes.hpp
+++ b/packages/core/include/sycamorelock/core/direct/prompt_homes.hpp
@@ -1,5 +1,6 @@
-// Which engines may read the shared beginning of a prompt in a large fleet:
-// the same few at every instance, and more as more requests are about it.
+// Selection of the engines that may prefill a shared prompt prefix in a large
+// fleet: its home engines. All instances select the same few by rendezvous
+// hashing, and more of them as the load of requests with the prefix grows.
 #pragma once
 
 #include "sycamorelock/core/direct/prefix_cache.hpp"
@@ -14,50 +15,57 @@
 namespace sycamorelock::core::direct
 {
 
-/// Key of what a prompt shares with others: all but its last part, or the only
-/// part; 0 if there are no parts.
+/// Key of the prefix that a prompt shares with others: all parts but the last,
+/// or the only part; 0 if there are no parts.
 std::uint64_t shared_key(std::span<const prompt_part> parts);
 
-/// Tokens of all parts but the last.
+/// Number of tokens of all parts but the last.
 double shared_tokens(std::span<const prompt_part> parts);
 
-/// Rank of an engine for a key, from 0 to 1. Those with the highest are homes.
+/// Rendezvous hash of an engine for a key, in [0, 1). The engines with the
+/// highest ranks are the homes of the key.
 double rank_of(std::uint64_t key, endpoint_id engine);
 
-/// Instances of a large fleet learn of each other's work after some 0.2 s. If
-/// all chose among all engines, those with the shortest wait in that old news
-/// would get everything until the next news comes: of 38,600 requests that 72
-/// instances sent to 90 engines in a minute, engines with full queues declined
-/// 2,830, and 1,520 of 35,200 with three engines to choose from; the shared
-/// tokens read again fell from 41 to 28 million.
+/// Number of home engines of each shared prefix, from the load of the requests
+/// that contain it.
+///
+/// Reports in a large fleet are some 0.2 s old. If all instances chose among
+/// all engines, the engines with the shortest reported wait would receive all
+/// requests until the next reports: of 38,600 requests that 72 instances sent
+/// to 90 engines in a minute, engines with full queues declined 2,830. With
+/// three engines to choose from they declined 1,520 of 35,200, and the prefill
+/// of shared tokens fell from 41 to 28 million.
 class prompt_homes
 {
   public:
-    /// Engines for a prompt that few ask about. With one, its wait decides
-    /// alone; more keep more copies of a prompt than the memory has room for.
-    static constexpr std::size_t least_homes = 3;
-    /// Engine time, in seconds a second, that requests about one prompt may
-    /// take from each of its engines before another one is added.
-    static constexpr double load_of_home = 0.25;
+    /// Number of engines for a prefix with little load. With one engine, there
+    /// would be no alternative to its queue; more engines would store more
+    /// copies of each prefix than the KV caches can hold.
+    static constexpr std::size_t min_homes = 3;
+    /// Load per home engine, in engine seconds per second, that requests with
+    /// one prefix may cause before another engine is added.
+    static constexpr double max_load_per_home = 0.25;
 
-    /// Notes a request about a prompt, seen here or elsewhere.
-    /// \param read_ms engine time for what is not shared.
+    /// Records a request of this or another instance with a shared prefix.
+    /// \param read_ms prefill time of the part that is not shared, in ms.
     void note(time_point now, std::uint64_t key, double read_ms);
 
-    /// Engines that may read this prompt.
+    /// Number of home engines of a prefix.
     [[nodiscard]] std::size_t count(time_point now, std::uint64_t key) const;
 
-    /// Forgets prompts that nobody asks about any more.
+    /// Removes prefixes with negligible load. Does nothing if called again
+    /// within 5 s.
     void sweep(time_point now);
 
   private:
-    /// Engine seconds a second by prompt.
+    /// Load by prefix, in engine seconds per second.
     std::unordered_map<std::uint64_t, rate_meter> load_;
     time_point swept_at_;
 };
 
-/// Keeps of some engines those with the highest ranks for a key, highest first.
-/// \param id_of the id of an engine.
+/// Reduces `engines` to the `count` engines with the highest ranks for a key,
+/// highest first. Leaves `engines` as it is if it has no more than `count`.
+/// \param id_of function that returns the id of an engine.
 template <class Engine, class Id>
 void keep_highest_ranked(std::uint64_t key, std::vector<Engine>& engines,
                          std::size_t count, Id id_of)
--- a/packages/core/lib/direct/engine_estimator.cpp
+++ b/packages/core/lib/direct/engine_estimator.cpp
@@ -1,4 +1,6 @@
-// Normal equations with three terms, reweighted by the size of the residual.
+// Least squares by normal equations with three terms. The Cauchy weight
+// function of iteratively reweighted least squares, applied once to each
+// observation, limits the influence of outliers.
 #include "sycamorelock/core/direct/engine_estimator.hpp"
 
 #include <algorithm>
@@ -12,62 +14,69 @@
 {
 
 constexpr double million = 1e6;
-/// Tokens of a prompt in one unit of the fit, so that its terms are of like
-/// size.
+/// Tokens per unit of the fit, which brings the terms to a similar magnitude.
 constexpr double token_unit = 1000;
-/// Residuals below this, in ms, are noise of the network and of steps.
-constexpr double least_scale_ms = 5;
-/// How far one reading moves the estimate of what a usual residual is, as
-/// factors: two of three readings miss by more, so that hidden waits of many do
-/// not make all of them count. It doubles in 25 readings, so that other engines
-/// are followed within seconds.
+/// Lower bound of the residual scale, in ms: smaller residuals are noise of
+/// the network and of the engines' steps.
+constexpr double min_scale_ms = 5;
+/// Factors by which one observation moves the residual scale. In equilibrium
+/// two of three residuals exceed the scale, so that frequent hidden waits do
+/// not raise it until all observations count in full. It can double within 25
+/// observations, so that a change of the engines is followed within seconds.
 constexpr double scale_up = 1.03;
 constexpr double scale_down = 1.06;
-/// First guess where operators name no throughput: slower than engines that
-/// serve interactive work.
-constexpr double slowest_tokens_per_ms = 10;
-/// First guess of the time besides reading: a step of a slow engine.
-constexpr double guessed_first_ms = 30;
-/// Pairs of the first guess: a prompt of 10,000 tokens takes a tenth longer at
-/// ten tokens a ms.
-constexpr double guessed_ms_per_million_pairs = 0.5;
-/// A reading that misses by this many times the usual counts half.
-constexpr double usual_misses = 2;
-/// A predicted wait of this length, in ms, halves what a reading counts: what
-/// others sent lately is not known, and an error of the wait is as large.
-constexpr double telling_wait_ms = 50;
-
-/// Millions of pairs of tokens that reading the rest of a prompt makes.
+/// Prior prefill rate where no throughput is configured: slower than engines
+/// that serve interactive requests.
+constexpr double default_tokens_per_ms = 10;
+/// Prior of the fixed time: one step of a slow engine.
+constexpr double prior_first_ms = 30;
+/// Prior of the attention cost. A prompt of 10,000 tokens has 50 million pairs,
+/// which cost 25 ms: a tenth more at 40 tokens per ms, 2.5 % more at ten.
+constexpr double prior_ms_per_million_pairs = 0.5;
+/// An observation whose residual is this multiple of the residual scale gets
+/// half the weight.
+constexpr double half_weight_residuals = 2;
+/// A predicted wait of this length, in ms, halves the weight of an observation:
+/// requests that other instances sent since their last reports are not known,
+/// which can make the predicted wait wrong by as much.
+constexpr double half_weight_wait_ms = 50;
+
+/// Millions of token pairs that attention evaluates in the prefill of
+/// `uncached` tokens after `cached` ones.
 double pairs(double cached, double uncached)
 {
     return uncached * (cached + uncached / 2) / million;
 }
 
-double mix(double mine, double my_weight, double other, double other_weight)
+double weighted_mean(double mine, double my_weight, double other,
+                     double other_weight)
 {
     const double sum = my_weight + other_weight;
     return sum <= 0 ? mine : (mine * my_weight + other * other_weight) / sum;
 }
 
-engine_figures mix(const engine_figures& mine, const engine_figures& other)
+engine_figures weighted_mean(const engine_figures& mine,
+                             const engine_figures& other)
 {
-    engine_figures made;
-    made.first_ms =
-        mix(mine.first_ms, mine.weight, other.first_ms, other.weight);
-    made.ms_per_token =
-        mix(mine.ms_per_token, mine.weight, other.ms_per_token, other.weight);
-    made.ms_per_million_pairs = mix(mine.ms_per_million_pairs, mine.weight,
-                                    other.ms_per_million_pairs, other.weight);
-    made.weight = mine.weight + other.weight;
-    return made;
+    engine_figures result;
+    result.first_ms =
+        weighted_mean(mine.first_ms, mine.weight, other.first_ms, other.weight);
+    result.ms_per_token = weighted_mean(mine.ms_per_token, mine.weight,
+                                        other.ms_per_token, other.weight);
+    result.ms_per_million_pairs =
+        weighted_mean(mine.ms_per_million_pairs, mine.weight,
+                      other.ms_per_million_pairs, other.weight);
+    result.weight = mine.weight + other.weight;
+    return result;
 }
 
-/// Solves `rows` x = `right` by elimination; a term without evidence is 0.
+/// Solves `rows` x = `right` by Gauss-Jordan elimination with partial pivoting.
+/// Components whose pivot is close to zero are set to 0.
 template <std::size_t N>
 std::array<double, N> solve(std::array<std::array<double, N>, N> rows,
                             std::array<double, N> right)
 {
-    static constexpr double nothing = 1e-9;
+    static constexpr double epsilon = 1e-9;
     for (std::size_t i = 0; i < N; ++i)
     {
         std::size_t best = i;
@@ -78,7 +87,7 @@
         }
         std::swap(rows[i], rows[best]);
         std::swap(right[i], right[best]);
-        if (std::abs(rows[i][i]) < nothing)
+        if (std::abs(rows[i][i]) < epsilon)
             continue;
         for (std::size_t k = 0; k < N; ++k)
         {
@@ -92,7 +101,7 @@
     }
     std::array<double, N> result{};
     for (std::size_t i = 0; i < N; ++i)
-        result[i] = std::abs(rows[i][i]) < nothing ? 0 : right[i] / rows[i][i];
+        result[i] = std::abs(rows[i][i]) < epsilon ? 0 : right[i] / rows[i][i];
     return result;
 }
 
@@ -106,95 +115,99 @@
 
 void engine_estimator::set_guess(double tokens_per_ms)
 {
-    guess_.first_ms = guessed_first_ms;
-    guess_.ms_per_token =
-        1 / (tokens_per_ms > 0 ? tokens_per_ms : slowest_tokens_per_ms);
-    guess_.ms_per_million_pairs = guessed_ms_per_million_pairs;
-    guess_.weight = guess_weight;
+    prior_.first_ms = prior_first_ms;
+    prior_.ms_per_token =
+        1 / (tokens_per_ms > 0 ? tokens_per_ms : default_tokens_per_ms);
+    prior_.ms_per_million_pairs = prior_ms_per_million_pairs;
+    prior_.weight = guess_weight;
     if (current_.weight <= guess_weight)
-        current_ = guess_;
+        current_ = prior_;
 }
 
 double engine_estimator::age_factor(time_point now) const
 {
     const double age = std::chrono::duration<double>(now - updated_at_).count();
     return std::exp(-std::max(0.0, age) /
-                    std::chrono::duration<double>(memory).count());
+                    std::chrono::duration<double>(decay_time).count());
 }
 
-void engine_estimator::observe(time_point now, const reading& seen)
+void engine_estimator::observe(time_point now, const reading& sample)
 {
     const double expected =
-        current_.first_ms + current_.read_ms(seen.cached, seen.uncached);
-    const double residual = std::abs(seen.took_ms - expected);
+        current_.first_ms + current_.read_ms(sample.cached, sample.uncached);
+    const double residual = std::abs(sample.took_ms - expected);
     scale_ms_ = residual > scale_ms_
                     ? scale_ms_ * scale_up
-                    : std::max(least_scale_ms, scale_ms_ / scale_down);
-    const double miss = residual / (usual_misses * scale_ms_);
-    const double counts =
-        telling_wait_ms / (telling_wait_ms + seen.wait_ms) / (1 + miss * miss);
-    const double keep = age_factor(now);
-    const vector term{1, seen.uncached / token_unit,
-                      pairs(seen.cached, seen.uncached)};
+                    : std::max(min_scale_ms, scale_ms_ / scale_down);
+    const double relative_residual =
+        residual / (half_weight_residuals * scale_ms_);
+    const double sample_weight = half_weight_wait_ms /
+                                 (half_weight_wait_ms + sample.wait_ms) /
+                                 (1 + relative_residual * relative_residual);
+    const double decay = age_factor(now);
+    const vector term{1, sample.uncached / token_unit,
+                      pairs(sample.cached, sample.uncached)};
     for (std::size_t i = 0; i < terms; ++i)
     {
         for (std::size_t j = 0; j < terms; ++j)
             products_[i][j] =
-                products_[i][j] * keep + counts * term[i] * term[j];
-        times_[i] = times_[i] * keep + counts * term[i] * seen.took_ms;
+                products_[i][j] * decay + sample_weight * term[i] * term[j];
+        times_[i] =
+            times_[i] * decay + sample_weight * term[i] * sample.took_ms;
     }
-    weight_ = weight_ * keep + 1;
+    weight_ = weight_ * decay + 1;
     updated_at_ = now;
-    // The first readings count at once: the guess may be far off.
+    // The first observations take effect at once, since the prior may be far
+    // off.
     if (weight_ < guess_weight)
         refresh(now);
 }
 
 void engine_estimator::report(time_point now, instance_id from,
-                              const engine_figures& told)
+                              const engine_figures& model)
 {
-    told_[from] = {now, told};
+    reported_[from] = {now, model};
 }
 
 engine_figures engine_estimator::fit() const
 {
-    // The guess keeps terms apart that the readings do not tell apart.
+    // Ridge regularisation towards the prior resolves collinear terms.
     static constexpr double ridge = 0.2;
     std::array<vector, terms> rows = products_;
     vector right = times_;
-    const vector guessed{guess_.first_ms, guess_.ms_per_token * token_unit,
-                         guess_.ms_per_million_pairs};
+    const vector prior_mean{prior_.first_ms, prior_.ms_per_token * token_unit,
+                            prior_.ms_per_million_pairs};
     static constexpr vector scale{1, 1, 10};
     for (std::size_t i = 0; i < terms; ++i)
     {
         rows[i][i] += ridge * scale[i];
-        right[i] += ridge * scale[i] * guessed[i];
+        right[i] += ridge * scale[i] * prior_mean[i];
     }
-    const vector found = solve(rows, right);
-    engine_figures made;
-    made.first_ms = std::max(0.0, found[0]);
-    // Never free: a rate above a thousand tokens a ms is no engine's.
-    made.ms_per_token = std::max(0.001, found[1] / token_unit);
-    made.ms_per_million_pairs = std::max(0.0, found[2]);
-    made.weight = weight_;
-    return made;
+    const vector solution = solve(rows, right);
+    engine_figures result;
+    result.first_ms = std::max(0.0, solution[0]);
+    // Prefill always costs time: no engine exceeds a thousand tokens per ms.
+    result.ms_per_token = std::max(0.001, solution[1] / token_unit);
+    result.ms_per_million_pairs = std::max(0.0, solution[2]);
+    result.weight = weight_;
+    return result;
 }
 
 engine_figures engine_estimator::own(time_point now) const
 {
-    engine_figures made = fit();
-    made.weight *= age_factor(now);
-    return made;
+    engine_figures result = fit();
+    result.weight *= age_factor(now);
+    return result;
 }
 
 engine_figures engine_estimator::refresh(time_point now)
 {
     const engine_figures mine = own(now);
-    current_ = mix(guess_, mine);
-    std::erase_if(told_, [now](const auto& entry)
-                  { return now - entry.second.at > report_life; });
-    for (const auto& [from, told] : told_)
-        current_ = mix(current_, told.figures);
+    current_ = weighted_mean(prior_, mine);
+    std::erase_if(reported_, [now](const auto& entry)
+                  { return now - entry.second.at > report_lifetime; });
+    for (const auto& [from, model] : reported_)
+        current_ = weighted_mean(current_, model.figures);
     return mine;
 }
 
--- a/packages/core/lib/direct/load_ledger.cpp
+++ b/packages/core/lib/direct/load_ledger.cpp
@@ -1,4 +1,4 @@
-// Sums of own and reported work.
+// Sums of the work of this instance and of the reported work of others.
 #include "sycamorelock/core/direct/load_ledger.hpp"
 
 #include <algorithm>
@@ -9,69 +9,69 @@
 namespace
 {
 
-/// Part of a prompt that counts as unread until its first token comes: the
-/// engine may be behind what was predicted.
-constexpr double least_unread = 0.2;
+/// Smallest remaining fraction of a prompt's prefill before its first token:
+/// the engine may be slower than predicted.
+constexpr double min_remaining = 0.2;
 
 } // namespace
 
-double load_ledger::unread_prompt::left_ms(time_point now) const
+double load_ledger::pending_prompt::remaining_ms(time_point now) const
 {
-    const double read_ms =
+    const double elapsed_ms =
         std::chrono::duration<double, std::milli>(now - reads_from).count() /
         slowness;
-    return std::clamp(ms - read_ms, ms * least_unread, ms);
+    return std::clamp(ms - elapsed_ms, ms * min_remaining, ms);
 }
 
-endpoint_work load_ledger::as_of_now(const own_work& work) const
+endpoint_work load_ledger::current_work(const own_work& work) const
 {
-    endpoint_work made = work.sum;
-    for (const unread_prompt& each : work.unread)
-        made.unread_ms += each.left_ms(now_);
-    return made;
+    endpoint_work result = work.sum;
+    for (const pending_prompt& each : work.pending)
+        result.unread_ms += each.remaining_ms(progress_at_);
+    return result;
 }
 
-void load_ledger::open(hold& taken)
+void load_ledger::open(hold& request)
 {
-    taken.number = ++opened_;
-    own_work& work = own_[taken.endpoint];
-    work.sum.endpoint = taken.endpoint;
-    work.unread.push_back(
-        {taken.number, taken.unread_ms, taken.reads_from, taken.slowness});
-    work.sum.tokens += taken.tokens;
+    request.number = ++last_number_;
+    own_work& work = own_[request.endpoint];
+    work.sum.endpoint = request.endpoint;
+    work.pending.push_back({request.number, request.unread_ms,
+                            request.reads_from, request.slowness});
+    work.sum.tokens += request.tokens;
     ++work.sum.waiting;
 }
 
-void load_ledger::has_read(own_work& work, const hold& held)
+void load_ledger::erase_prompt(own_work& work, const hold& request)
 {
-    std::erase_if(work.unread, [&](const unread_prompt& each)
-                  { return each.number == held.number; });
+    std::erase_if(work.pending, [&](const pending_prompt& each)
+                  { return each.number == request.number; });
 }
 
-void load_ledger::begin(hold& held)
+void load_ledger::begin(hold& request)
 {
-    if (held.begun)
+    if (request.begun)
         return;
-    held.begun = true;
-    own_work& work = own_[held.endpoint];
-    has_read(work, held);
+    request.begun = true;
+    own_work& work = own_[request.endpoint];
+    erase_prompt(work, request);
     --work.sum.waiting;
     ++work.sum.running;
 }
 
-void load_ledger::close(const hold& held)
+void load_ledger::close(const hold& request)
 {
-    own_work& work = own_[held.endpoint];
-    if (held.begun)
+    own_work& work = own_[request.endpoint];
+    if (request.begun)
         --work.sum.running;
     else
     {
-        has_read(work, held);
+        erase_prompt(work, request);
         --work.sum.waiting;
     }
-    work.sum.tokens = std::max(0.0, work.sum.tokens - held.tokens);
+    work.sum.tokens = std::max(0.0, work.sum.tokens - request.tokens);
     if (work.sum.idle())
-        own_.erase(held.endpoint);
+        own_.erase(request.endpoint);
 }
 
 void load_ledger::report(time_point now, instance_id from,
@@ -85,7 +85,7 @@
     advance(now);
     others_.clear();
     std::erase_if(reports_, [now](const auto& entry)
-                  { return now - entry.second.at > report_life; });
+                  { return now - entry.second.at > report_lifetime; });
     for (const auto& [instance, report] : reports_)
     {
         for (const endpoint_work& work : report.work)
@@ -99,7 +99,7 @@
     sum.endpoint = endpoint;
     const auto own = own_.find(endpoint);
     if (own != own_.end())
-        sum += as_of_now(own->second);
+        sum += current_work(own->second);
     const auto others = others_.find(endpoint);
     if (others != others_.end())
         sum += others->second;
@@ -127,7 +127,7 @@
     std::vector<endpoint_work> result;
     result.reserve(own_.size());
     for (const auto& [endpoint, work] : own_)
-        result.push_back(as_of_now(work));
+        result.push_back(current_work(work));
     return result;
 }
 
--- a/packages/core/lib/direct/prefix_cache.cpp
+++ b/packages/core/lib/direct/prefix_cache.cpp
@@ -1,4 +1,4 @@
-// Least recently used parts yield first, as in the engines themselves.
+// Evicts the least recently used parts first, as the engines do.
 #include "sycamorelock/core/direct/prefix_cache.hpp"
 
 #include <algorithm>
@@ -27,14 +27,16 @@
 void prefix_cache::touch(endpoint_id engine, std::span<const prompt_part> parts,
                          double capacity, time_point ready_at)
 {
-    // An engine declines what is larger than its memory, and keeps the rest.
+    // An engine rejects a prompt larger than its memory and evicts nothing for
+    // it.
     double tokens = 0;
     for (const prompt_part& part : parts)
         tokens += part.tokens;
     if (tokens > capacity)
         return;
     engine_cache& cache = engines_[engine];
-    // From the end, so that the beginning, which others share, is newest.
+    // In reverse, so that the beginning, which other prompts share, ends up as
+    // the max_parts recently used.
     for (auto part = parts.rbegin(); part != parts.rend(); ++part)
     {
         const auto found = cache.index.find(part->key);
@@ -57,8 +59,9 @@
     }
 }
 
-std::vector<prompt_part>
-prefix_cache::shared(time_point now, endpoint_id engine, std::size_t most) const
+std::vector<prompt_part> prefix_cache::shared(time_point now,
+                                              endpoint_id engine,
+                                              std::size_t max_parts) const
 {
     std::vector<prompt_part> result;
     const auto cache = engines_.find(engine);
@@ -66,7 +69,7 @@
         return result;
     for (const entry& each : cache->second.order)
     {
-        if (result.size() >= most)
+        if (result.size() >= max_parts)
             break;
         if (each.shared && each.ready_at <= now)
             result.push_back({each.key, each.tokens});
--- a/packages/core/lib/direct/prompt_fetch.cpp
+++ b/packages/core/lib/direct/prompt_fetch.cpp
@@ -1,4 +1,4 @@
-// Links that are busy until a moment.
+// Transfer times from link speed and the end of earlier transfers.
 #include "sycamorelock/core/direct/prompt_fetch.hpp"
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// Way of the question between two engines and back, beside the transfer, in
-/// ms: a connection within a region.
+/// Round trip of the fetch request between two engines in a region, in ms,
+/// excluding the transfer.
 constexpr double setup_ms = 4;
 
 } // namespace
@@ -23,11 +23,11 @@
     return std::max(0.0, to_ms(found->second - now));
 }
 
-double fetch_links::transfer_ms(time_point now, const service& kind,
+double fetch_links::transfer_ms(time_point now, const service& engines,
                                 endpoint_id source, endpoint_id target,
                                 double tokens) const
 {
-    return setup_ms + kind.transfer_ms(tokens) +
+    return setup_ms + engines.transfer_ms(tokens) +
            std::max(busy_ms(now, source), busy_ms(now, target));
 }
 
--- a/packages/core/lib/direct/prompt_homes.cpp
+++ b/packages/core/lib/direct/prompt_homes.cpp
@@ -1,6 +1,6 @@
-// Rendezvous hashing with as many engines as the demand needs. SHA-256, as for
-// the owners of shards, takes 0.2 us for each candidate (docs/CAPACITY.md), and
-// each decision ranks every engine.
+// Rendezvous hashing with a number of engines that follows the load. It does
+// not use SHA-256, which selects the owners of shards: SHA-256 takes 0.2 us for
+// each candidate (docs/CAPACITY.md), and each decision ranks every engine.
 #include "sycamorelock/core/direct/prompt_homes.hpp"
 
 namespace sycamorelock::core::direct
@@ -9,14 +9,15 @@
 namespace
 {
 
-/// How often forgotten prompts are looked for.
+/// Minimum interval between two removals of unused prefixes.
 constexpr duration sweep_period = std::chrono::seconds(5);
-/// Load of a prompt that may be forgotten: a hundredth of an engine.
-constexpr double negligible = 0.01;
+/// Prefixes below this load, in engine seconds per second, are removed.
+constexpr double negligible_load = 0.01;
 constexpr double ms_per_second = 1000;
 
-/// Spreads every bit of a number over all others (finalizer of MurmurHash3).
-std::uint64_t mix(std::uint64_t value)
+/// Finalizer of MurmurHash3: each bit of the result depends on all bits of
+/// `value`.
+std::uint64_t mix_bits(std::uint64_t value)
 {
     value ^= value >> 33U;
     value *= 0xff51afd7ed558ccdULL;
@@ -44,10 +45,10 @@
 
 double rank_of(std::uint64_t key, endpoint_id engine)
 {
-    static constexpr double range = 1.0 / 4294967296.0;
+    static constexpr double to_unit_interval = 1.0 / 4294967296.0;
     const std::uint64_t mixed =
-        mix(key ^ (std::uint64_t{engine.value()} << 32U | engine.value()));
-    return static_cast<double>(mixed >> 32U) * range;
+        mix_bits(key ^ (std::uint64_t{engine.value()} << 32U | engine.value()));
+    return static_cast<double>(mixed >> 32U) * to_unit_interval;
 }
 
 void prompt_homes::note(time_point now, std::uint64_t key, double read_ms)
@@ -59,9 +60,9 @@
 {
     const auto found = load_.find(key);
     if (found == load_.end())
-        return least_homes;
-    return least_homes +
-           static_cast<std::size_t>(found->second.rate_at(now) / load_of_home);
+        return min_homes;
+    return min_homes + static_cast<std::size_t>(found->second.rate_at(now) /
+                                                max_load_per_home);
 }
 
 void prompt_homes::sweep(time_point now)
@@ -70,7 +71,7 @@
         return;
     swept_at_ = now;
     std::erase_if(load_, [now](const auto& entry)
-                  { return entry.second.rate_at(now) < negligible; });
+                  { return entry.second.rate_at(now) < negligible_load; });
 }
 
 } // namespace sycamorelock::core::direct
