--- a/packages/core/include/sycamorelock/core/direct/engine_estimator.hpp
+++ b/packages/core/include/sycamorelock/core/direct/engine_estimator.hpp
@@ -85,7 +85,7 @@
   private:
     static constexpr std::size_t terms = 3;
     using vector = std::array<double, terms>;
-    struct reported_figures
+    struct reported_model
     {
         time_point at;
         engine_figures figures;
@@ -104,7 +104,7 @@
     double scale_ms_ = 10;
     time_point updated_at_;
     engine_figures prior_;
-    std::map<instance_id, reported_figures> reported_;
+    std::map<instance_id, reported_model> reported_;
     engine_figures current_;
 };
 
--- a/packages/core/lib/direct/prefix_cache.cpp
+++ b/packages/core/lib/direct/prefix_cache.cpp
@@ -36,7 +36,7 @@
         return;
     engine_cache& cache = engines_[engine];
     // In reverse, so that the beginning, which other prompts share, ends up as
-    // the max_parts recently used.
+    // the most recently used.
     for (auto part = parts.rbegin(); part != parts.rend(); ++part)
     {
         const auto found = cache.index.find(part->key);
--- a/packages/core/unittests/direct_caches_test.cpp
+++ b/packages/core/unittests/direct_caches_test.cpp
@@ -1,4 +1,4 @@
-// What engines keep, told to an instance that starts.
+// Copies of the KV cache estimate that a starting instance receives.
 #include "direct_fixture.hpp"
 
 #include "sycamorelock/core/direct/cache_copies.hpp"
@@ -14,25 +14,28 @@
 const endpoint_id engine = endpoint_id::of("one");
 constexpr double capacity = 10000;
 
-/// An instance that has worked for a while, and one that has just started.
+/// An instance that has routed requests for a while, and one that has just
+/// started.
 struct fixture
 {
-    two_engines worked{100000, 0};
+    two_engines running{100000, 0};
     two_engines started;
 
     explicit fixture(const mechanism_set& used = {}) : started(100000, 0, used)
     {
     }
 
-    /// Asks about a subject; the engine that it goes to.
-    static placement_decision ask(two_engines& of, std::uint64_t own,
-                                  time_point now)
+    /// Routes a request with the shared prefix of 5,000 tokens and a last
+    /// part `own`. Returns its placement.
+    static placement_decision route_request(two_engines& instance,
+                                            std::uint64_t own, time_point now)
     {
-        request_profile asked = of.ask_for({{1, 5000}, {own, 300}}, now);
+        request_profile profile =
+            instance.ask_for({{1, 5000}, {own, 300}}, now);
         auto placed = std::get<placement_decision>(
-            of.decides.decide(now, asked, drafts, {}, true));
-        of.decides.sent(now, asked, placed);
-        of.decides.first_token(now, asked, placed, now);
+            instance.decides.decide(now, profile, drafts, {}, true));
+        instance.decides.sent(now, profile, placed);
+        instance.decides.first_token(now, profile, placed, now);
         return placed;
     }
 };
@@ -41,23 +44,23 @@
 
 } // namespace
 
-Test(direct_caches, only_parts_of_more_than_one_request_are_told)
+Test(direct_caches, only_parts_of_several_requests_are_shared)
 {
     prefix_cache cache;
     cache.touch(engine, std::vector<prompt_part>{{1, 500}, {2, 30}}, capacity);
     cache.touch(engine, std::vector<prompt_part>{{1, 500}, {3, 30}}, capacity);
     cache.touch(engine, std::vector<prompt_part>{{4, 700}, {5, 30}}, capacity);
     cache.touch(engine, std::vector<prompt_part>{{4, 700}, {6, 30}}, capacity);
-    const auto told = cache.shared(start, engine, 10);
-    cr_assert_eq(told.size(), 2U);
-    cr_expect_eq(told.at(0).key, 4U);
-    cr_expect_float_eq(told.at(0).tokens, 700, 1e-9);
-    cr_expect_eq(told.at(1).key, 1U);
+    const auto shared_parts = cache.shared(start, engine, 10);
+    cr_assert_eq(shared_parts.size(), 2U);
+    cr_expect_eq(shared_parts.at(0).key, 4U);
+    cr_expect_float_eq(shared_parts.at(0).tokens, 700, 1e-9);
+    cr_expect_eq(shared_parts.at(1).key, 1U);
     cr_expect_eq(cache.shared(start, engine, 1).size(), 1U);
     cr_expect(cache.shared(start, endpoint_id::of("two"), 10).empty());
 }
 
-Test(direct_caches, what_is_still_being_read_is_not_told)
+Test(direct_caches, parts_in_prefill_are_not_shared)
 {
     prefix_cache cache;
     const std::vector<prompt_part> parts{{1, 500}};
@@ -67,9 +70,9 @@
     cr_expect_eq(cache.shared(start + later, engine, 10).size(), 1U);
 }
 
-// A copy is older than what was seen here, and takes no more than the engine
-// has memory for.
-Test(direct_caches, a_copy_yields_to_what_is_known)
+// Copied parts count as less recently used than known ones, and only as many
+// are added as fit into the engine's memory.
+Test(direct_caches, a_copy_ranks_behind_known_parts)
 {
     prefix_cache cache;
     const std::vector<prompt_part> own{{1, 6000}};
@@ -88,49 +91,50 @@
     cr_expect_float_eq(cache.cached(engine, own), 6000, 1e-9);
 }
 
-// Load pattern: many ask about one subject, and an instance starts anew. It
-// sent the next request to whichever engine was free, which read 5,000 tokens
-// again.
-Test(direct_caches, a_started_instance_sends_to_the_engine_that_keeps)
+// Guards against repeated prefills after a start. Load pattern: many requests
+// share a prefix, and an instance starts. Without a copy it sent the next
+// request to any free engine, which repeated the prefill of 5,000 tokens.
+Test(direct_caches, a_started_instance_uses_the_engine_with_the_cached_prefix)
 {
     fixture fix;
-    const placement_decision first = fixture::ask(fix.worked, 2, start);
-    fixture::ask(fix.worked, 3, start + later);
+    const placement_decision first =
+        fixture::route_request(fix.running, 2, start);
+    fixture::route_request(fix.running, 3, start + later);
     const time_point now = start + 2 * later;
-    fix.started.decides.adopt_caches(fix.worked.decides.copy_caches(now));
-    const placement_decision next = fixture::ask(fix.started, 4, now);
+    fix.started.decides.adopt_caches(fix.running.decides.copy_caches(now));
+    const placement_decision next = fixture::route_request(fix.started, 4, now);
     cr_expect(next.endpoint.boot == first.endpoint.boot);
     cr_expect_float_eq(next.cached_tokens, 5000, 1e-6);
 }
 
-Test(direct_caches, switched_off_nothing_is_taken_over)
+Test(direct_caches, copies_are_ignored_if_switched_off)
 {
     mechanism_set used;
     used.switch_off(mechanism::cache_copies);
     fixture fix(used);
-    fixture::ask(fix.worked, 2, start);
-    fixture::ask(fix.worked, 3, start + later);
+    fixture::route_request(fix.running, 2, start);
+    fixture::route_request(fix.running, 3, start + later);
     const time_point now = start + 2 * later;
-    fix.started.decides.adopt_caches(fix.worked.decides.copy_caches(now));
-    const placement_decision next = fixture::ask(fix.started, 4, now);
+    fix.started.decides.adopt_caches(fix.running.decides.copy_caches(now));
+    const placement_decision next = fixture::route_request(fix.started, 4, now);
     cr_expect_float_eq(next.cached_tokens, 0, 1e-6);
 }
 
-// A new start of an engine under its old name keeps nothing of what the copy
-// tells of the earlier one.
-Test(direct_caches, a_copy_tells_nothing_of_a_later_start)
+// An engine that restarted under its old name has an empty KV cache, so a copy
+// that describes it before the restart must not be applied.
+Test(direct_caches, a_copy_does_not_apply_to_a_restarted_engine)
 {
     fixture fix;
-    fixture::ask(fix.worked, 2, start);
-    fixture::ask(fix.worked, 3, start + later);
+    fixture::route_request(fix.running, 2, start);
+    fixture::route_request(fix.running, 3, start + later);
     const time_point now = start + 2 * later;
     fix.started.list({"one", "two"}, 7);
-    fix.started.decides.adopt_caches(fix.worked.decides.copy_caches(now));
-    const placement_decision next = fixture::ask(fix.started, 4, now);
+    fix.started.decides.adopt_caches(fix.running.decides.copy_caches(now));
+    const placement_decision next = fixture::route_request(fix.started, 4, now);
     cr_expect_float_eq(next.cached_tokens, 0, 1e-6);
 }
 
-Test(direct_caches, an_instance_asks_until_told_and_answers_when_it_knows)
+Test(direct_caches, copies_are_requested_after_a_start_and_provided_later)
 {
     cache_copies copies;
     cr_expect_not(copies.wanted(start));
@@ -138,9 +142,9 @@
     copies.began(start);
     copies.began(start + later);
     cr_expect(copies.wanted(start));
-    cr_expect_not(copies.wanted(start + cache_copies::patience));
+    cr_expect_not(copies.wanted(start + cache_copies::request_period));
     cr_expect_not(copies.may_give(start));
-    cr_expect(copies.may_give(start + cache_copies::settled_after));
+    cr_expect(copies.may_give(start + cache_copies::complete_after));
     copies.arrived();
     cr_expect_not(copies.wanted(start));
     cr_expect(copies.may_give(start));
--- a/packages/core/unittests/direct_parts_test.cpp
+++ b/packages/core/unittests/direct_parts_test.cpp
@@ -1,5 +1,6 @@
-// The parts of direct routing one by one: shares, cache estimate, ledger,
-// health, routes, homes.
+// Unit tests of the components of direct routing: account shares, prefix cache,
+// load ledger, endpoint health, catalogue, prompt homes, note relay, tick
+// delay.
 #include "sycamorelock/core/direct/catalogue.hpp"
 #include "sycamorelock/core/direct/endpoint_health.hpp"
 #include "sycamorelock/core/direct/note_relay.hpp"
@@ -32,7 +33,7 @@
     cr_expect_float_eq(max_min_share(90, {100, 100, 100}), 30, 1e-9);
 }
 
-Test(direct_shares, an_account_beyond_its_share_is_told_so)
+Test(direct_shares, an_account_above_its_share_is_detected)
 {
     account_shares shares;
     time_point at = start;
@@ -56,13 +57,14 @@
     cr_expect_gt(shares.ask(start, north, 10, 10000).fair, 1.0);
     const time_point later = start + std::chrono::milliseconds(200);
     cr_expect_lt(shares.ask(later, south, 10, 10000).owed, 1.0);
-    // A report that is too old says nothing.
+    // An expired report has no effect.
     cr_expect_lt(shares.ask(start + seconds(10), north, 10, 10000).owed, 1.0);
 }
 
-// An aggregator that starts knows of its own failure domain only: what the old
-// one told of the others fades, and does not vanish.
-Test(direct_shares, a_report_that_tells_less_does_not_free_an_account)
+// An aggregator that has just started reports its own failure domain only. The
+// previous aggregator's totals for the other domains must decay instead of
+// disappearing at once.
+Test(direct_shares, a_less_complete_report_does_not_free_an_account)
 {
     const time_point now{std::chrono::seconds(10)};
     const account_id flood = account_id::of("flood");
@@ -74,13 +76,13 @@
     const time_point soon = now + std::chrono::milliseconds(150);
     shares.report(soon, rest, {{flood, 9000, 2000}});
     cr_expect_gt(shares.ask(soon, flood, 100, 50000).owed, 1.0);
-    // Once the averages would have faded, the new report holds.
+    // Once the averages have decayed, the new report applies alone.
     const time_point later = now + std::chrono::seconds(12);
     shares.report(later, rest, {{flood, 9000, 2000}});
     cr_expect_lt(shares.ask(later, flood, 100, 50000).owed, 1.0);
 }
 
-Test(direct_shares, what_a_silent_instance_told_fades)
+Test(direct_shares, reports_of_a_silent_instance_decay)
 {
     const time_point now{std::chrono::seconds(10)};
     const account_id flood = account_id::of("flood");
@@ -107,7 +109,7 @@
     cr_expect_float_eq(cache.cached(engine, other), 0, 1e-9);
 }
 
-Test(direct_cache, the_least_recently_used_parts_yield)
+Test(direct_cache, the_least_recently_used_parts_are_evicted)
 {
     prefix_cache cache;
     const std::vector<prompt_part> one{{1, 400}};
@@ -122,17 +124,17 @@
     cr_expect_float_eq(cache.cached(engine, three), 400, 1e-9);
 }
 
-// A caller names a prompt larger than any engine. It would have stood for all
-// that the engine keeps.
-Test(direct_cache, a_prompt_beyond_the_memory_changes_nothing)
+// Guards against an estimate whose contents are all evicted for a prompt that
+// is larger than any engine's memory. The prompt size comes from the caller.
+Test(direct_cache, a_prompt_larger_than_the_memory_changes_nothing)
 {
     prefix_cache cache;
     const std::vector<prompt_part> kept{{1, 400}};
-    const std::vector<prompt_part> absurd{{2, 900}, {3, 1e9}};
+    const std::vector<prompt_part> oversized{{2, 900}, {3, 1e9}};
     cache.touch(engine, kept, 1000);
-    cache.touch(engine, absurd, 1000);
+    cache.touch(engine, oversized, 1000);
     cr_expect_float_eq(cache.cached(engine, kept), 400, 1e-9);
-    cr_expect_float_eq(cache.cached(engine, absurd), 0, 1e-9);
+    cr_expect_float_eq(cache.cached(engine, oversized), 0, 1e-9);
 }
 
 Test(direct_ledger, own_and_reported_work_adds_up_and_ends)
@@ -156,9 +158,9 @@
     cr_expect(ledger.total(engine).idle());
 }
 
-// Guards against refusals behind a long prompt of which most is read: it would
-// count in full until its first token.
-Test(direct_ledger, a_prompt_that_is_being_read_counts_for_what_is_left)
+// Guards against refusals due to a long prompt whose prefill is almost complete
+// but which counts in full until its first token.
+Test(direct_ledger, a_prompt_in_prefill_counts_with_its_remaining_time)
 {
     load_ledger ledger;
     load_ledger::hold first{engine, 500, 25000, false};
@@ -172,7 +174,7 @@
     cr_expect_float_eq(ledger.total(engine).unread_ms, 600, 1e-9);
     ledger.advance(start + std::chrono::milliseconds(300));
     cr_expect_float_eq(ledger.total(engine).unread_ms, 300, 1e-9);
-    // A fifth counts until the first token comes, however late it is.
+    // At least a fifth counts until the first token, however late it is.
     ledger.advance(start + std::chrono::milliseconds(1100));
     cr_expect_float_eq(ledger.total(engine).unread_ms, 150, 1e-9);
     ledger.begin(first);
@@ -183,7 +185,7 @@
     cr_expect(ledger.total(engine).idle());
 }
 
-Test(direct_health, a_slow_engine_is_known_and_forgotten)
+Test(direct_health, a_slowdown_is_learned_and_decays)
 {
     endpoint_health health;
     for (int i = 0; i < 8; ++i)
@@ -192,7 +194,7 @@
     cr_expect_lt(health.slowness(start + seconds(60)), 1.05);
 }
 
-Test(direct_health, an_unreachable_endpoint_is_set_aside_and_tried_again)
+Test(direct_health, an_unreachable_endpoint_is_ejected_and_probed)
 {
     endpoint_health health;
     health.unreachable(start);
@@ -209,11 +211,11 @@
     catalogue config;
     for (const char* prefix : {"/a/", "/a/b/", "/"})
     {
-        route way;
-        way.name = prefix;
-        way.host = "h";
-        way.prefix = prefix;
-        config.routes.push_back(way);
+        route added;
+        added.name = prefix;
+        added.host = "h";
+        added.prefix = prefix;
+        config.routes.push_back(added);
     }
     config.index();
     cr_expect_str_eq(config.find_route("h", "/a/b/c")->name.c_str(), "/a/b/");
@@ -222,7 +224,7 @@
     cr_expect_null(config.find_route("other", "/a/"));
 }
 
-Test(direct_home, what_is_shared_is_all_but_the_last_part)
+Test(direct_home, the_shared_prefix_excludes_the_last_part)
 {
     const std::vector<prompt_part> parts{{1, 100}, {2, 50}, {3, 7}};
     cr_expect_eq(shared_key(parts), 2U);
@@ -276,26 +278,27 @@
     cr_expect(chosen({}).empty());
 }
 
-Test(direct_home, a_prompt_that_many_ask_about_gets_more_engines)
+Test(direct_home, a_prefix_with_high_load_gets_more_engines)
 {
     prompt_homes homes;
     time_point now{std::chrono::seconds(1000)};
-    cr_expect_eq(homes.count(now, 1), prompt_homes::least_homes);
+    cr_expect_eq(homes.count(now, 1), prompt_homes::min_homes);
     for (int i = 0; i < 200; ++i)
     {
         now += std::chrono::milliseconds(10);
         homes.note(now, 1, 50);
         homes.note(now, 2, 0.1);
     }
-    // Five engine seconds a second, less what is not averaged in yet.
-    cr_expect_gt(homes.count(now, 1), prompt_homes::least_homes + 10);
-    cr_expect_eq(homes.count(now, 2), prompt_homes::least_homes);
+    // Five engine seconds per second, minus what the average has not caught up
+    // with yet.
+    cr_expect_gt(homes.count(now, 1), prompt_homes::min_homes + 10);
+    cr_expect_eq(homes.count(now, 2), prompt_homes::min_homes);
     now += std::chrono::seconds(20);
     homes.sweep(now);
-    cr_expect_eq(homes.count(now, 1), prompt_homes::least_homes);
+    cr_expect_eq(homes.count(now, 1), prompt_homes::min_homes);
 }
 
-Test(direct_relay, notes_go_up_across_and_down_once)
+Test(direct_relay, notes_are_forwarded_once_per_direction)
 {
     const auto note = [](const char* engine) {
         return cache_note{endpoint_id::of(engine), {{1, 10}}};
@@ -312,7 +315,7 @@
     cr_expect(relay.take_all().empty());
 }
 
-Test(direct_relay, what_nobody_takes_stays_bounded)
+Test(direct_relay, pending_notes_are_bounded)
 {
     note_relay relay;
     const cache_note note{endpoint_id::of("e"), {{1, 10}}};
@@ -321,7 +324,7 @@
     cr_expect_eq(relay.take_all().size(), note_relay::most_notes);
 }
 
-Test(direct_delay, an_event_loop_that_is_late_or_hangs_shows)
+Test(direct_delay, a_late_or_blocked_event_loop_is_detected)
 {
     tick_delay delay(milliseconds(20));
     cr_expect_not(delay.late(start));
@@ -337,7 +340,7 @@
         return changed;
     };
     cr_expect_not(ticks(50, 21));
-    // One late tick is a pause, not an overload.
+    // A single late tick is a pause, not an overload.
     cr_expect_not(ticks(1, 900));
     cr_expect(ticks(20, 500));
     cr_expect(delay.late(now));
