--- a/packages/core/include/sycamorelock/core/direct/cache_copies.hpp
+++ b/packages/core/include/sycamorelock/core/direct/cache_copies.hpp
@@ -31,8 +31,8 @@
     /// possible. Later calls have no effect.
     void began(time_point now)
     {
-        if (!began_at_)
-            began_at_ = now;
+        if (!endpoints_known_at_)
+            endpoints_known_at_ = now;
     }
     /// Records that a copy has arrived.
     void arrived() { has_copy_ = true; }
@@ -40,16 +40,18 @@
     /// Whether reports should request a copy.
     [[nodiscard]] bool wanted(time_point now) const
     {
-        return began_at_ && !has_copy_ && now - *began_at_ < request_period;
+        return endpoints_known_at_ && !has_copy_ &&
+               now - *endpoints_known_at_ < request_period;
     }
     /// Whether the own estimate is complete enough to be sent to others.
     [[nodiscard]] bool may_give(time_point now) const
     {
-        return has_copy_ || (began_at_ && now - *began_at_ >= complete_after);
+        return has_copy_ || (endpoints_known_at_ &&
+                             now - *endpoints_known_at_ >= complete_after);
     }
 
   private:
-    std::optional<time_point> began_at_;
+    std::optional<time_point> endpoints_known_at_;
     bool has_copy_ = false;
 };
 
--- a/packages/core/include/sycamorelock/core/direct/load_ledger.hpp
+++ b/packages/core/include/sycamorelock/core/direct/load_ledger.hpp
@@ -64,7 +64,7 @@
         /// KV cache size of the prompt and the expected output, in tokens.
         double tokens = 0;
         /// Whether the first token has arrived.
-        bool begun = false;
+        bool has_first_token = false;
         /// Predicted start of the prefill. With the default, the whole prompt
         /// counts as remaining until the first token.
         time_point reads_from = time_point::max();
@@ -87,7 +87,7 @@
     /// complete state.
     void report(time_point now, instance_id from,
                 const std::vector<endpoint_work>& work);
-    /// Drops the report of an instance that has left.
+    /// Drops the report of an instance that has left or is unreachable.
     void forget_instance(instance_id gone) { reports_.erase(gone); }
 
     /// Drops expired reports and recomputes the sums of the others. To be
--- a/packages/core/lib/direct/load_ledger.cpp
+++ b/packages/core/lib/direct/load_ledger.cpp
@@ -50,9 +50,9 @@
 
 void load_ledger::begin(hold& request)
 {
-    if (request.begun)
+    if (request.has_first_token)
         return;
-    request.begun = true;
+    request.has_first_token = true;
     own_work& work = own_[request.endpoint];
     erase_prompt(work, request);
     --work.sum.waiting;
@@ -62,7 +62,7 @@
 void load_ledger::close(const hold& request)
 {
     own_work& work = own_[request.endpoint];
-    if (request.begun)
+    if (request.has_first_token)
         --work.sum.running;
     else
     {
