--- a/packages/core/include/sycamorelock/core/direct/exchange.hpp
+++ b/packages/core/include/sycamorelock/core/direct/exchange.hpp
@@ -1,4 +1,5 @@
-// What instances tell each other, as plain data. The wire package encodes it.
+// Messages that instances exchange, as plain data. The wire package encodes
+// them.
 #pragma once
 
 #include "sycamorelock/core/direct/account_shares.hpp"
@@ -18,91 +19,97 @@
 
 using std::chrono::milliseconds;
 
-/// An engine reads these parts; told so that all know what it keeps, and how
-/// many ask about the prompt.
+/// Reports that a request with these prompt parts was sent to an engine.
+/// Receivers learn from it which prefixes the engine's KV cache holds and how
+/// many requests use the prompt.
 struct cache_note
 {
     endpoint_id engine;
     std::vector<prompt_part> parts;
-    /// Predicted time until the engine has read them.
+    /// Predicted time until the engine has finished the prefill of the parts.
     milliseconds due{0};
 };
 
-/// What an instance has learned of the engines of a service.
+/// Performance figures of the engines of a service, as an instance has
+/// estimated them from requests.
 struct service_figures
 {
     service_id service;
     engine_figures figures;
 };
 
-/// Another instance as the sender knows it.
+/// State of another instance as the sender of a report knows it.
 struct peer_sight
 {
-    /// IP:port of its exchange.
+    /// IP:port at which the instance receives reports.
     std::string address;
     std::uint64_t incarnation = 0;
-    /// Number of its newest report that the sender knows of.
+    /// Number of the instance's newest report that the sender knows of.
     std::uint64_t heard = 0;
     /// Failure domain, as a digest.
     domain_id domain;
 };
 
-/// Whose work and demands a report holds.
+/// Instances whose work and demands a report contains.
 enum class report_part : std::uint8_t
 {
-    /// The sender's own.
+    /// The sender only.
     own = 0,
-    /// The sender's own, for it to be summed up by the receiver.
+    /// The sender only; the receiver is its aggregator and adds them to the sum
+    /// of the failure domain.
     member = 1,
-    /// Those of the sender's whole failure domain.
+    /// All instances of the sender's failure domain.
     domain = 2,
-    /// Those of all instances but the receiver.
+    /// All instances except the receiver.
     rest = 3,
-    /// None: the report only tells of instances.
+    /// None: the report contains the states of instances only.
     none = 4,
-    /// None: the report brings an instance what it could not read.
+    /// None: the report contains copies of state that the receiver lacks.
     copy = 5,
 };
 
-/// An endpoint that warms up, as its entry of a generation of the store said.
+/// An endpoint that is warming up, according to one revision of its entry in
+/// the store.
 struct warming_notice
 {
     endpoint_id endpoint;
     std::uint64_t revision = 0;
-    /// From the sending of the report.
+    /// Remaining warm-up time when the report was sent.
     milliseconds left{0};
 };
 
-/// The operators' configuration as the platform published it.
+/// The operators' configuration as published by the platform.
 struct config_copy
 {
     std::uint64_t version = 0;
     std::string text;
 };
 
-/// What an instance knows from the platform's store. An aggregator tells its
-/// members, which need not read the store then; all tell it in every report, so
-/// that whoever is behind is helped.
+/// An instance's state of the data in the platform's store. An aggregator sends
+/// it to its members, which then need not read the store themselves. Every
+/// report contains it, so that receivers can send a copy to an instance whose
+/// data is older.
 struct store_view
 {
     /// The store's revision up to which the sender has read.
     std::uint64_t revision = 0;
-    /// Time since the store's last answer, or since what is known here was
-    /// last confirmed by an instance that had one.
+    /// Time since the store last responded, or since an instance with a
+    /// response from the store last confirmed this state.
     milliseconds age{0};
-    /// Time for which it has answered without an outage, to any instance that
-    /// the sender has heard of.
+    /// Time for which the store has responded without an outage to at least one
+    /// of the instances from which the sender has received reports.
     milliseconds up{0};
-    /// Digest of the endpoints.
+    /// Digest of all endpoint entries.
     std::uint64_t digest = 0;
-    /// All endpoints, for an instance that is behind.
+    /// All endpoint entries; set only in a copy for an instance whose data is
+    /// older.
     std::optional<std::vector<endpoint_record>> endpoints;
-    /// What operators wrote about draining failure domains, always all of it.
+    /// The operators' drains of failure domains, always the complete list.
     std::vector<domain_drain> drains;
 };
 
-/// Periodic report of one instance. Ledger and demands are complete states;
-/// the cache notes are those since the previous report.
+/// Periodic report of one instance. `work` and `demands` are complete states;
+/// `notes` and `streams` contain only what was added since the previous report.
 struct exchange_report
 {
     std::string sender;
@@ -120,16 +127,20 @@
     std::vector<service_figures> figures;
     std::vector<warming_notice> warming;
     store_view store;
-    /// The sender has started and does not know what engines keep.
+    /// The sender has started and does not know the contents of the engines'
+    /// KV caches, so it requests a copy.
     bool wants_caches = false;
-    /// Streams sent since the previous report whose release others cannot tell
-    /// without.
+    /// Streams sent since the previous report whose release other instances
+    /// cannot determine without this report.
     std::vector<stream_note> streams;
-    /// The sender does not know which streams others have sent.
+    /// The sender does not know which streams other instances have sent, so it
+    /// requests a copy.
     bool wants_streams = false;
-    /// Its news of endpoints has stayed away, and it may have missed a release.
+    /// The sender's endpoint listing was outdated and may have missed a
+    /// release, so it requests the release history.
     bool wants_releases = false;
-    /// In a copy, with `streams`: what the sender knows of releases.
+    /// The sender's release history; set only in a copy, together with
+    /// `streams`.
     std::optional<release_history> releases;
 };
 
--- a/packages/core/include/sycamorelock/core/direct/exchange_tree.hpp
+++ b/packages/core/include/sycamorelock/core/direct/exchange_tree.hpp
@@ -1,7 +1,8 @@
-// Exchange in a large fleet: each failure domain has an aggregator that sums
-// up its members, tells the other domains' aggregators, and hands every member
-// the sum of all the others. Messages per instance do not grow with the fleet;
-// only the aggregator's grow, with the size of its domain.
+// Exchange in a large fleet: the aggregator of each failure domain sums up the
+// reports of its members, sends the sum to the aggregators of the other
+// domains, and sends each member the sum of all other instances. The number of
+// messages per instance does not grow with the fleet, except that of an
+// aggregator, which grows with the size of its domain.
 #pragma once
 
 #include "sycamorelock/core/direct/exchange.hpp"
@@ -12,14 +13,15 @@
 namespace sycamorelock::core::direct
 {
 
-/// Work and demands of some instances together.
+/// Sums of the work and demands of a set of instances.
 struct exchange_sum
 {
     std::vector<endpoint_work> work;
     std::vector<account_demand> demands;
 };
 
-/// Work and demands of all instances, from which a member's own are taken out.
+/// Sums of the work and demands of all instances, from which those of one
+/// member can be subtracted.
 struct exchange_total
 {
     std::map<endpoint_id, endpoint_work> work;
@@ -29,27 +31,33 @@
     [[nodiscard]] exchange_sum without(const exchange_sum& part) const;
 };
 
+/// Latest sums received from the members of this failure domain and from other
+/// domains.
 class exchange_tree
 {
   public:
-    /// A part that is older than this is left out: it spans a few reports.
-    static constexpr duration part_life = std::chrono::milliseconds(1200);
+    /// Sums older than this are ignored. The time spans a few report intervals.
+    static constexpr duration max_part_age = std::chrono::milliseconds(1200);
 
     void set_own(time_point now, exchange_sum own);
-    /// A member of this failure domain, for which this instance aggregates.
+    /// Stores the report of a member of this failure domain, for which this
+    /// instance is the aggregator.
     void on_member(time_point now, const std::string& member, exchange_sum own);
-    /// The sum of another failure domain.
+    /// Stores the sum of another failure domain.
     void on_domain(time_point now, const std::string& domain, exchange_sum sum);
 
-    /// This instance was chosen as aggregator by at least one member lately.
+    /// Whether at least one member has recently reported to this instance as
+    /// its aggregator.
     [[nodiscard]] bool aggregates(time_point now) const;
-    /// Members that reported lately.
+    /// Members that have reported within the maximum age.
     [[nodiscard]] std::vector<std::string> members(time_point now) const;
-    /// Sum of this instance and its members.
+    /// Returns the sum of this instance and its members.
     [[nodiscard]] exchange_sum domain_sum(time_point now) const;
-    /// Sum of this domain and all others, made once for a round of reports.
+    /// Returns the sum of this domain and all others. It is computed once per
+    /// round of reports.
     [[nodiscard]] exchange_total total(time_point now) const;
-    /// Sum of all others as one member sees them; empty name: this instance.
+    /// Returns the total without one member's own part.
+    /// \param member name of the member; empty for this instance.
     [[nodiscard]] exchange_sum rest_for(const exchange_total& total,
                                         const std::string& member) const;
 
@@ -59,9 +67,9 @@
         time_point at;
         exchange_sum sum;
     };
-    [[nodiscard]] static bool fresh(time_point now, const part& which)
+    [[nodiscard]] static bool is_current(time_point now, const part& candidate)
     {
-        return now - which.at <= part_life;
+        return now - candidate.at <= max_part_age;
     }
 
     void add_domain(time_point now, exchange_total& sum) const;
--- a/packages/core/include/sycamorelock/core/direct/help_pace.hpp
+++ b/packages/core/include/sycamorelock/core/direct/help_pace.hpp
@@ -1,4 +1,4 @@
-// How often an instance that is behind is sent what it lacks.
+// Limits how often an instance with outdated state is sent a copy.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -9,20 +9,22 @@
 namespace sycamorelock::core::direct
 {
 
+/// Rate limiter for copies, per receiving instance.
 class help_pace
 {
   public:
-    /// Least time between two copies to one instance: the first one has
-    /// arrived and is told of by then.
-    static constexpr duration again_after = std::chrono::milliseconds(300);
+    /// Minimum interval between two copies to one instance. Within it the first
+    /// copy arrives and the receiver's next report reflects it.
+    static constexpr duration min_interval = std::chrono::milliseconds(300);
 
-    /// Whether a copy may go to an instance; if so, it counts as sent.
+    /// Returns whether a copy may be sent to an instance; if so, it is recorded
+    /// as sent.
     bool allow(time_point now, const std::string& peer)
     {
-        time_point& sent = sent_at_[peer];
-        if (now - sent < again_after)
+        time_point& last_sent = sent_at_[peer];
+        if (now - last_sent < min_interval)
             return false;
-        sent = now;
+        last_sent = now;
         return true;
     }
 
--- a/packages/core/include/sycamorelock/core/direct/note_relay.hpp
+++ b/packages/core/include/sycamorelock/core/direct/note_relay.hpp
@@ -1,6 +1,6 @@
-// What engines read and which streams were sent, on its way through a large
-// fleet: from members to their aggregator, between aggregators, and from them
-// to all members.
+// Relays notes about cached prefixes and streams through a large fleet: from
+// members to their aggregator, between aggregators, and from each aggregator to
+// its members.
 #pragma once
 
 #include "sycamorelock/core/direct/exchange.hpp"
@@ -10,54 +10,58 @@
 namespace sycamorelock::core::direct
 {
 
-/// Collects notes between two rounds of the exchange. Without it an instance
-/// of a large fleet knows of its own requests only, one in seventy, and sends
-/// prompts to engines that have long dropped or never read them.
-/// \tparam Most notes that one round may carry; the oldest are left out beyond
+/// Collects notes between two rounds of the exchange. Without the relay an
+/// instance of a large fleet knows only its own requests, one in seventy, and
+/// sends prompts to engines that have evicted them long ago or never processed
+/// them.
+/// \tparam Max maximum number of notes per round; the oldest are dropped beyond
 /// it.
-template <class Note, std::size_t Most> class relay
+template <class Note, std::size_t Max> class relay
 {
   public:
-    static constexpr std::size_t most_notes = Most;
+    static constexpr std::size_t most_notes = Max;
 
-    /// Notes of this instance's own requests.
+    /// Adds notes of this instance's own requests.
     void add_own(std::vector<Note> notes);
-    /// Notes of a member of this failure domain.
+    /// Adds notes of a member of this failure domain.
     void add_member(const std::vector<Note>& notes);
-    /// Notes of another failure domain, from its aggregator.
+    /// Adds notes of another failure domain, received from its aggregator.
     void add_domain(const std::vector<Note>& notes);
 
-    /// For this domain's aggregator: own ones since the previous call.
+    /// Returns the notes for this domain's aggregator: those of this instance
+    /// since the previous call.
     [[nodiscard]] std::vector<Note> take_own();
-    /// For other domains' aggregators: those of this domain since the previous
-    /// call.
+    /// Returns the notes for the aggregators of other domains: those of this
+    /// domain since the previous call.
     [[nodiscard]] std::vector<Note> take_domain();
-    /// For members: all since the previous call.
+    /// Returns the notes for the members of this domain: all since the previous
+    /// call.
     [[nodiscard]] std::vector<Note> take_all();
 
-    /// Notes left out so far. Lists that nobody takes do not count.
+    /// Number of notes dropped so far. A list's drops are counted when it is
+    /// next taken, so lists that are never taken do not count.
     [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
 
   private:
-    /// A list, and how many notes it has lost since it was taken.
-    struct list
+    /// Pending notes, and the number dropped since they were last taken.
+    struct note_list
     {
         std::vector<Note> notes;
-        std::uint64_t lost = 0;
+        std::uint64_t dropped = 0;
     };
-    static void append(list& to, const std::vector<Note>& notes);
-    std::vector<Note> take(list& from);
+    static void append(note_list& to, const std::vector<Note>& notes);
+    std::vector<Note> take(note_list& from);
 
-    list own_;
-    list domain_;
-    list all_;
+    note_list own_;
+    note_list domain_;
+    note_list all_;
     std::uint64_t dropped_ = 0;
 };
 
-/// Two seconds of the design size's 1,700 requests a second.
+/// Holds two seconds of requests at the design size, 1,700 per second.
 using note_relay = relay<cache_note, 3400>;
-/// All streams of the design size that are open when a second release comes:
-/// 1,200 begin in a second and last some ten.
+/// Holds all streams that are open at the design size when a second release
+/// appears: 1,200 start per second and last some ten seconds.
 using stream_relay = relay<stream_note, 20'000>;
 
 extern template class relay<cache_note, note_relay::most_notes>;
--- a/packages/core/include/sycamorelock/core/direct/release.hpp
+++ b/packages/core/include/sycamorelock/core/direct/release.hpp
@@ -1,5 +1,5 @@
-// Software versions of endpoints and the streams that began at them, as
-// digests that instances tell each other.
+// Identifiers of software versions of endpoints and of resumable streams, as
+// digests that instances exchange.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -11,7 +11,7 @@
 namespace sycamorelock::core::direct
 {
 
-/// A 64-bit digest of a name. Its value is the same in every process.
+/// A 64-bit digest of a name, the same in every process.
 template <class Tag> class digest_id
 {
   public:
@@ -25,22 +25,24 @@
     std::uint64_t value_ = 0;
 };
 
-/// One software version of the endpoints of one service.
+/// Identifies one software version of the endpoints of one service.
 using release_id = digest_id<struct release_tag>;
-/// A stream, named by the caller's attempt that began it and bound to the
+/// Identifies a stream by the caller's attempt that started it and the client
 /// account of that caller.
 using stream_key = digest_id<struct stream_tag>;
 
 release_id release_of(service_id service, std::string_view version);
 
-/// \param account none for anonymous callers.
+/// \param account the caller's client account; empty for anonymous callers.
+/// \param attempt the attempt id that the caller chose.
 stream_key stream_key_of(std::optional<account_id> account,
                          std::string_view attempt);
 
-/// Bytes of a version's text that are kept.
+/// Maximum length in bytes of a stored version text.
 inline constexpr std::size_t most_version_bytes = 64;
 
-/// The text itself, or a beginning and a digest of one that is longer.
+/// Returns the text unchanged if it fits `most_version_bytes`, otherwise its
+/// beginning followed by a digest of the whole text.
 std::string bounded_version(std::string_view version);
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/include/sycamorelock/core/direct/stream_releases.hpp
+++ b/packages/core/include/sycamorelock/core/direct/stream_releases.hpp
@@ -1,5 +1,6 @@
-// Which release began each resumable stream. What two releases write does not
-// fit together, so a stream may go on only at the one that began it.
+// Records which release started each resumable stream. The output of two
+// releases cannot be joined, so a stream may be resumed only at the release
+// that started it.
 #pragma once
 
 #include "sycamorelock/core/direct/release.hpp"
@@ -17,120 +18,132 @@
 
 using std::chrono::milliseconds;
 
-/// A stream and the release that it was sent to.
+/// A stream and the release that its request was sent to. Instances report
+/// these to each other.
 struct stream_note
 {
     stream_key key;
     service_id service;
     release_id release;
-    /// Number of the attempt, from 1; of one stream the highest holds, as an
-    /// attempt that brought nothing may be repeated elsewhere. 0: resumed.
+    /// Number of the attempt, from 1. If two notes of one stream differ, the
+    /// one with the higher number is valid, because an attempt that returned no
+    /// data may be repeated at another release. 0 for a resumed stream.
     unsigned attempt = 1;
 
     bool operator==(const stream_note&) const = default;
 };
 
-/// A release that has endpoints, or had some lately.
+/// A release that has endpoints, or had some recently.
 struct release_sight
 {
     service_id service;
     release_id release;
-    /// Since one was listed last; zero if one is.
+    /// Time since an endpoint of the release was last listed; zero if one is
+    /// listed now.
     milliseconds age{0};
 
     bool operator==(const release_sight&) const = default;
 };
 
-/// Releases that streams may have begun at.
+/// Releases that may have started streams.
 struct release_history
 {
     std::vector<release_sight> seen;
-    /// For this time no release can have been missed.
+    /// Time up to now for which the list is complete.
     milliseconds watched_for{0};
 
     bool operator==(const release_history&) const = default;
 };
 
-/// What an instance that has just started cannot know by itself.
+/// State that an instance requests from another one after it has started, or
+/// after its endpoint listing was outdated.
 struct stream_copy
 {
     std::vector<stream_note> streams;
     release_history releases;
 };
 
-/// How the release of a stream became known.
+/// How the release of a stream was determined.
 enum class stream_source : std::uint8_t
 {
-    /// It is not known.
+    /// The release is not known.
     unknown,
-    /// This instance sent it.
+    /// This instance sent the request of the stream.
     own,
-    /// Another instance told it.
-    told,
-    /// The service has had endpoints of no other release.
+    /// Another instance reported the stream. Written as "told".
+    reported,
+    /// The service has had endpoints of no other release during the time for
+    /// which streams are remembered.
     sole,
 };
 std::string_view to_string(stream_source source);
 
+/// Maps resumable streams to the releases that started them, and determines
+/// which streams must be reported to other instances.
 class stream_releases
 {
   public:
-    /// Bounds on the time for which a stream is remembered.
-    static constexpr duration least_kept = std::chrono::seconds(10);
-    static constexpr duration most_kept = std::chrono::seconds(60);
-    /// Streams of other instances that are remembered; the oldest are dropped
-    /// beyond it. The design size begins 1,200 a second.
-    static constexpr std::size_t most_told = 80'000;
+    /// Bounds of the time for which a stream is remembered.
+    static constexpr duration min_retention = std::chrono::seconds(10);
+    static constexpr duration max_retention = std::chrono::seconds(60);
+    /// Maximum number of remembered streams of other instances; the oldest are
+    /// dropped beyond it. At the design size 1,200 streams start per second.
+    static constexpr std::size_t max_remote_streams = 80'000;
     /// The same for streams of this instance.
-    static constexpr std::size_t most_own = 20'000;
-    /// Releases of a service that are remembered.
-    static constexpr std::size_t most_releases = 64;
-    /// News of endpoints that is older may lack a release. A quiet store
-    /// answers every two seconds.
-    static constexpr duration fresh_for = std::chrono::milliseconds(2500);
-    /// Two instances may see a release come and go this much apart.
-    static constexpr duration listing_skew = 2 * fresh_for;
-    /// An instance that has started asks others for what they know, and for no
-    /// longer than this.
-    static constexpr duration patience = std::chrono::seconds(3);
-    /// Whoever has run or watched for less than others ask knows no more than
-    /// they.
-    static constexpr duration settled_after = patience + fresh_for;
-    /// Callers that take up a stream that had ended here do so within this
-    /// time: they lost its last bytes.
-    static constexpr duration ended_for = std::chrono::seconds(5);
-    /// Streams that a copy tells of: some 300 KB.
-    static constexpr std::size_t most_copied = 40'000;
+    static constexpr std::size_t max_own_streams = 20'000;
+    /// Maximum number of remembered releases of a service.
+    static constexpr std::size_t max_releases_per_service = 64;
+    /// An endpoint listing older than this may lack a release. A store without
+    /// changes responds every two seconds.
+    static constexpr duration max_listing_age = std::chrono::milliseconds(2500);
+    /// Maximum difference between the times at which two instances see a
+    /// release added or removed.
+    static constexpr duration listing_skew = 2 * max_listing_age;
+    /// Time for which an instance that has started, or whose listing was
+    /// outdated, requests copies of streams and releases from others.
+    static constexpr duration copy_request_period = std::chrono::seconds(3);
+    /// An instance that has run, or has had current listings, for less than
+    /// this sends no copy: it knows no more than the instances requesting one.
+    static constexpr duration min_observation_time =
+        copy_request_period + max_listing_age;
+    /// Callers that resume a stream that ended here do so within this time,
+    /// because they did not receive its last bytes.
+    static constexpr duration resume_grace_period = std::chrono::seconds(5);
+    /// Maximum number of streams in a copy, which is then some 300 KB.
+    static constexpr std::size_t max_copied_streams = 40'000;
 
-    /// The longest time of a stream; it may break at its end and be resumed
-    /// for as long.
+    /// Sets the maximum duration of a stream. A stream that breaks at its end
+    /// may be resumed for the same time again, so streams are remembered for
+    /// twice this time, within `min_retention` and `max_retention`.
     void set_longest(milliseconds timeout);
-    [[nodiscard]] duration kept_for() const { return kept_for_; }
+    [[nodiscard]] duration retention() const { return retention_; }
 
-    /// Endpoints of these releases are listed, and of no others.
+    /// Sets the releases of which endpoints are listed now, by service.
     void set_listed(time_point now,
                     const std::map<service_id, std::set<release_id>>& listed);
-    /// Up to when the listing was right. To be called often: it notices when
-    /// news stays away.
+    /// Sets the time at which the listing was last known to be correct. Must be
+    /// called more often than `max_listing_age`: a larger step of this time is
+    /// treated as a gap in which a release may have been missed.
     void set_current(time_point now, time_point at);
-    /// Streams of routes that lead to this service now may have begun at
-    /// another one.
+    /// Records that a route was changed to lead to this service, so that
+    /// streams of the route may have been started by another service.
     void note_moved(time_point now, service_id service);
-    /// Services that share a route with others: which of them began a stream
-    /// is not plain.
+    /// Sets the services that share a route with others. The route does not
+    /// determine which of them started a stream.
     void set_shared(std::set<service_id> services);
 
-    /// A stream of this instance is sent to a release.
-    /// \return whether others may take it for that of another release until
-    /// they are told.
+    /// Records that a stream of this instance is sent to a release.
+    /// \return whether the release differs from that of an earlier attempt, so
+    /// that others assume the wrong release until they receive a report.
     bool note(time_point now, const stream_note& sent);
-    /// The same for a stream that was begun before, maybe elsewhere.
+    /// The same for a stream that is resumed here and may have been started
+    /// through another instance.
     void note_resumed(time_point now, stream_key key, service_id service,
                       release_id release);
-    /// Its caller has got all of it.
+    /// Records that the caller has received the whole stream.
     void end(time_point now, stream_key key);
-    /// Streams of other instances.
-    void hear(time_point now, std::span<const stream_note> told);
+    /// Adds streams that other instances have reported.
+    void hear(time_point now, std::span<const stream_note> remote);
 
     struct finding
     {
@@ -138,37 +151,48 @@
         service_id service;
         release_id release;
     };
-    /// The release of a stream that was sent here or told.
+    /// Looks up a stream that this instance sent or another one reported.
     [[nodiscard]] finding find(time_point now, stream_key key) const;
-    /// The only release that streams of a service can have begun at.
+    /// Returns the release of a service's streams if only one can have started
+    /// them.
     [[nodiscard]] std::optional<release_id> sole(time_point now,
                                                  service_id service) const;
 
-    /// Whether others may be unable to tell the release of a service's streams.
+    /// Whether other instances may need a report to determine the release of a
+    /// service's streams.
     [[nodiscard]] bool must_tell(time_point now, service_id service) const;
-    /// What they must be told, each stream once. Also drops what is too old.
+    /// Returns the streams that must be reported now and removes them from the
+    /// queue. Also removes expired streams and releases.
     [[nodiscard]] std::vector<stream_note> take_untold(time_point now);
 
-    /// An instance has come that has not heard what was told.
+    /// Queues all own streams again, for an instance that has joined and has
+    /// not received earlier reports.
     void retell();
 
-    /// Whether this instance has just started and lacks what others told.
+    /// Whether this instance has just started and lacks the streams that others
+    /// reported before.
     [[nodiscard]] bool wants_streams(time_point now) const;
-    /// Whether it may have missed a release, and others can tell.
+    /// Whether this instance may have missed a release and requests the release
+    /// history from others.
     [[nodiscard]] bool wants_releases(time_point now) const;
-    /// What is known here; nothing if that is too little.
-    /// \param has_started the one who asks lacks all streams. Otherwise it has
-    /// missed a release, as have all if the store was away.
+    /// Returns a copy of the known streams and releases, or nothing if this
+    /// instance has run or observed releases for less than
+    /// `min_observation_time`.
+    /// \param has_started whether the requester has just started and lacks all
+    /// streams. Otherwise it may have missed a release, as all instances may
+    /// have after an outage of the store.
     [[nodiscard]] std::optional<stream_copy> copy(time_point now,
                                                   bool has_started) const;
+    /// Merges a copy from another instance.
     void adopt(time_point now, const stream_copy& known);
 
-    /// Streams that are remembered.
+    /// Number of streams that are remembered.
     [[nodiscard]] std::size_t kept() const
     {
-        return own_.size() + told_.size();
+        return own_.size() + remote_.size();
     }
-    /// Those dropped before their time, since there were too many.
+    /// Number of streams that were dropped before their retention time had
+    /// passed, because a limit on the number of streams was exceeded.
     [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
 
   private:
@@ -178,84 +202,95 @@
         release_id release;
         unsigned attempt = 0;
         time_point at;
-        std::optional<time_point> ended;
-        /// It is in `untold_`.
-        bool is_pending = false;
+        std::optional<time_point> ended_at;
+        /// Whether the stream is in `unreported_`.
+        bool is_queued = false;
     };
-    /// Streams in the order in which they were noted. One that was noted again
-    /// is in `order` twice.
-    struct memory
+    /// Streams and the order in which they were inserted or refreshed. A
+    /// refreshed stream has several elements in `order`, of which only the last
+    /// one has the time of the entry.
+    struct stream_table
     {
-        struct noted
+        struct insertion
         {
             time_point at;
             stream_key key;
         };
         std::unordered_map<stream_key, entry> known;
-        std::deque<noted> order;
+        std::deque<insertion> order;
 
         [[nodiscard]] std::size_t size() const { return known.size(); }
         [[nodiscard]] const entry* find(stream_key key) const;
-        entry& renew(time_point now, stream_key key);
-        /// Returns how many were dropped as there were more than `most`.
-        std::size_t drop(time_point oldest, std::size_t most);
+        entry& refresh(time_point now, stream_key key);
+        /// Removes streams older than `oldest` and those beyond the limits on
+        /// the sizes of the table and of `order`. Returns how many streams were
+        /// removed only because of the limits.
+        std::size_t evict(time_point oldest, std::size_t max_size);
     };
-    /// Releases of a service, and when endpoints of each were listed last.
-    struct history
+    /// Releases of a service and the time at which endpoints of each were last
+    /// listed.
+    struct service_history
     {
-        std::map<release_id, time_point> seen;
+        std::map<release_id, time_point> last_listed;
         std::set<release_id> listed;
-        /// A route has led to it instead of another service since then.
-        std::optional<time_point> moved;
+        /// Last time at which a route was changed from another service to
+        /// this one.
+        std::optional<time_point> route_moved_at;
     };
 
-    [[nodiscard]] bool is_fresh(time_point now) const
+    [[nodiscard]] bool is_listing_current(time_point now) const
     {
-        return now - current_at_ <= fresh_for;
+        return now - listing_time_ <= max_listing_age;
     }
-    /// Time within which a release that was listed may have begun a stream.
-    [[nodiscard]] duration history_for() const
+    /// Time after its last listing for which a release may have streams that
+    /// can still be resumed.
+    [[nodiscard]] duration release_lifetime() const
     {
-        return kept_for_ + listing_skew;
+        return retention_ + listing_skew;
     }
-    /// Whether streams that go on now may have begun at a release that was
-    /// listed last at `last`.
-    [[nodiscard]] bool may_have_begun(time_point now, const history& of,
-                                      release_id release, time_point last) const
+    /// Whether streams that are resumed now may have been started by a release
+    /// that was last listed at `last`.
+    [[nodiscard]] bool may_own_streams(time_point now,
+                                       const service_history& history,
+                                       release_id release,
+                                       time_point last) const
     {
-        return of.listed.contains(release) || now - last <= history_for();
+        return history.listed.contains(release) ||
+               now - last <= release_lifetime();
     }
-    /// Whether no release that may have begun a stream can be missing here.
-    [[nodiscard]] bool is_complete(time_point now) const
+    /// Whether every release that may have started a stream is known here.
+    [[nodiscard]] bool knows_all_releases(time_point now) const
     {
-        return is_fresh(now) && watched_since_ &&
-               now - *watched_since_ >= history_for();
+        return is_listing_current(now) && observed_since_ &&
+               now - *observed_since_ >= release_lifetime();
     }
-    [[nodiscard]] bool any_must_tell(time_point now) const;
-    /// To be told as soon as that is needed.
-    void remember_untold(stream_key key, entry& sent);
-    /// Whether a stream of `untold_` is to be told; clears it if so, or if
-    /// nobody will ask for it any more.
-    [[nodiscard]] bool is_due(time_point now, entry& sent) const;
-    void see(time_point at, service_id service, release_id release);
-    void learn(time_point now, const stream_note& told);
-    void sweep(time_point now);
+    [[nodiscard]] bool any_must_report(time_point now) const;
+    /// Queues a stream, to be reported once its service requires that.
+    void queue_report(stream_key key, entry& sent);
+    /// Returns whether a queued stream must be reported now. Clears `is_queued`
+    /// if so, or if the stream has ended and can no longer be resumed.
+    [[nodiscard]] bool dequeue_if_due(time_point now, entry& sent) const;
+    void record_release(time_point at, service_id service, release_id release);
+    void store_remote(time_point now, const stream_note& remote);
+    void remove_expired(time_point now);
 
-    duration kept_for_ = least_kept;
-    std::map<service_id, history> services_;
+    duration retention_ = min_retention;
+    std::map<service_id, service_history> services_;
     std::set<service_id> shared_;
-    time_point current_at_;
-    /// Since when no release can have been missed.
-    std::optional<time_point> watched_since_;
+    time_point listing_time_;
+    /// Time since which the release history is complete; empty while it may
+    /// lack a release.
+    std::optional<time_point> observed_since_;
     std::optional<time_point> started_;
-    bool has_copy_ = false;
-    /// Since when others are asked for releases, until one has told them.
-    time_point asked_since_;
-    bool is_informed_ = false;
-    memory own_;
-    memory told_;
-    /// Streams of this instance that it has not told.
-    std::vector<stream_key> untold_;
+    bool has_stream_copy_ = false;
+    /// Time since which releases are requested from others, until
+    /// `has_release_copy_` is set.
+    time_point requesting_since_;
+    bool has_release_copy_ = false;
+    stream_table own_;
+    stream_table remote_;
+    /// Streams of this instance that have not been reported.
+    std::vector<stream_key> unreported_;
     std::uint64_t dropped_ = 0;
 };
 
--- a/packages/core/lib/direct/exchange_tree.cpp
+++ b/packages/core/lib/direct/exchange_tree.cpp
@@ -1,4 +1,5 @@
-// Sums are made anew for each round, so that no part counts twice.
+// Sums are computed from scratch in each round, so that no report is counted
+// twice.
 #include "sycamorelock/core/direct/exchange_tree.hpp"
 
 #include <algorithm>
@@ -9,7 +10,8 @@
 namespace
 {
 
-/// Takes from a list in the order of its ids what is listed in another one.
+/// Subtracts the items of `part` from the items of `from` with the same id.
+/// `from` must be sorted by id.
 template <class Item, class Id>
 void subtract(std::vector<Item>& from, const std::vector<Item>& part, Id id_of)
 {
@@ -43,20 +45,20 @@
 
 exchange_sum exchange_total::without(const exchange_sum& part) const
 {
-    exchange_sum rest;
-    rest.work.reserve(work.size());
+    exchange_sum remainder;
+    remainder.work.reserve(work.size());
     for (const auto& [id, sum] : work)
-        rest.work.push_back(sum);
-    rest.demands.reserve(demands.size());
+        remainder.work.push_back(sum);
+    remainder.demands.reserve(demands.size());
     for (const auto& [id, sum] : demands)
-        rest.demands.push_back(sum);
-    subtract(rest.work, part.work,
+        remainder.demands.push_back(sum);
+    subtract(remainder.work, part.work,
              [](const endpoint_work& each) { return each.endpoint; });
-    subtract(rest.demands, part.demands,
+    subtract(remainder.demands, part.demands,
              [](const account_demand& each) { return each.account; });
-    std::erase_if(rest.work,
+    std::erase_if(remainder.work,
                   [](const endpoint_work& each) { return each.idle(); });
-    return rest;
+    return remainder;
 }
 
 void exchange_tree::set_own(time_point now, exchange_sum own)
@@ -86,7 +88,7 @@
     std::vector<std::string> result;
     for (const auto& [name, member] : members_)
     {
-        if (fresh(now, member))
+        if (is_current(now, member))
             result.push_back(name);
     }
     return result;
@@ -105,7 +107,7 @@
     add_domain(now, sum);
     for (const auto& [name, domain] : domains_)
     {
-        if (fresh(now, domain))
+        if (is_current(now, domain))
             sum.add(domain.sum);
     }
     return sum;
@@ -116,7 +118,7 @@
     sum.add(own_.sum);
     for (const auto& [name, member] : members_)
     {
-        if (fresh(now, member))
+        if (is_current(now, member))
             sum.add(member.sum);
     }
 }
--- a/packages/core/lib/direct/release.cpp
+++ b/packages/core/lib/direct/release.cpp
@@ -1,5 +1,6 @@
-// Digests of SHA-256: attempt ids are the callers' words, and nobody may find
-// one that names the stream of another account.
+// The digests are truncated SHA-256: callers choose the attempt ids, and must
+// not be able to construct one whose key equals that of a stream of another
+// client account.
 #include "sycamorelock/core/direct/release.hpp"
 
 #include <openssl/sha.h>
@@ -18,10 +19,10 @@
     std::array<unsigned char, SHA256_DIGEST_LENGTH> hash{};
     SHA256(reinterpret_cast<const unsigned char*>(text.data()), text.size(),
            hash.data());
-    static constexpr unsigned bits = 8;
+    static constexpr unsigned bits_per_byte = 8;
     std::uint64_t value = 0;
     for (std::size_t i = 0; i < sizeof value; ++i)
-        value = value << bits | hash.at(i);
+        value = value << bits_per_byte | hash.at(i);
     return value;
 }
 
@@ -48,8 +49,8 @@
     std::array<char, 2 * sizeof(std::uint64_t) + 2> digest{};
     std::snprintf(digest.data(), digest.size(), "#%016llx",
                   static_cast<unsigned long long>(digest_of(version)));
-    const std::size_t beginning = most_version_bytes + 1 - digest.size();
-    return std::string(version.substr(0, beginning)) + digest.data();
+    const std::size_t prefix_bytes = most_version_bytes + 1 - digest.size();
+    return std::string(version.substr(0, prefix_bytes)) + digest.data();
 }
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/lib/direct/stream_releases.cpp
+++ b/packages/core/lib/direct/stream_releases.cpp
@@ -1,5 +1,5 @@
-// A stream is looked for among those of this instance, those that others told,
-// and last by the releases that its service has had.
+// Lookup order: streams of this instance, streams reported by other instances,
+// then the only release that the service has had.
 #include "sycamorelock/core/direct/stream_releases.hpp"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
         return "unknown";
     case stream_source::own:
         return "own";
-    case stream_source::told:
+    case stream_source::reported:
         return "told";
     case stream_source::sole:
         return "sole";
@@ -24,29 +24,31 @@
 }
 
 const stream_releases::entry*
-stream_releases::memory::find(stream_key key) const
+stream_releases::stream_table::find(stream_key key) const
 {
     const auto found = known.find(key);
     return found == known.end() ? nullptr : &found->second;
 }
 
-stream_releases::entry& stream_releases::memory::renew(time_point now,
-                                                       stream_key key)
+stream_releases::entry& stream_releases::stream_table::refresh(time_point now,
+                                                               stream_key key)
 {
-    entry& made = known[key];
-    if (made.at != now)
+    entry& stored = known[key];
+    if (stored.at != now)
         order.push_back({now, key});
-    made.at = now;
-    return made;
+    stored.at = now;
+    return stored;
 }
 
-std::size_t stream_releases::memory::drop(time_point oldest, std::size_t most)
+std::size_t stream_releases::stream_table::evict(time_point oldest,
+                                                 std::size_t max_size)
 {
     std::size_t dropped = 0;
     while (!order.empty())
     {
-        const bool excess = known.size() > most || order.size() > 2 * most;
-        if (!excess && order.front().at >= oldest)
+        const bool over_limit =
+            known.size() > max_size || order.size() > 2 * max_size;
+        if (!over_limit && order.front().at >= oldest)
             break;
         const auto found = known.find(order.front().key);
         if (found != known.end() && found->second.at == order.front().at)
@@ -61,38 +63,39 @@
 
 void stream_releases::set_longest(milliseconds timeout)
 {
-    kept_for_ =
-        std::clamp<duration>(2 * duration(timeout), least_kept, most_kept);
+    retention_ = std::clamp<duration>(2 * duration(timeout), min_retention,
+                                      max_retention);
 }
 
-void stream_releases::see(time_point at, service_id service, release_id release)
+void stream_releases::record_release(time_point at, service_id service,
+                                     release_id release)
 {
-    history& of = services_[service];
-    time_point& last = of.seen[release];
+    service_history& history = services_[service];
+    time_point& last = history.last_listed[release];
     last = std::max(last, at);
-    if (of.seen.size() <= most_releases)
+    if (history.last_listed.size() <= max_releases_per_service)
         return;
-    const auto oldest = std::min_element(of.seen.begin(), of.seen.end(),
-                                         [](const auto& a, const auto& b)
-                                         { return a.second < b.second; });
-    of.seen.erase(oldest);
-    // One is missing from the history now.
-    watched_since_.reset();
+    const auto oldest = std::min_element(
+        history.last_listed.begin(), history.last_listed.end(),
+        [](const auto& a, const auto& b) { return a.second < b.second; });
+    history.last_listed.erase(oldest);
+    // The history now lacks a release, so it is no longer complete.
+    observed_since_.reset();
 }
 
 void stream_releases::set_listed(
     time_point now, const std::map<service_id, std::set<release_id>>& listed)
 {
-    for (auto& [service, of] : services_)
+    for (auto& [service, history] : services_)
     {
-        for (const release_id release : of.listed)
-            of.seen[release] = now;
-        of.listed.clear();
+        for (const release_id release : history.listed)
+            history.last_listed[release] = now;
+        history.listed.clear();
     }
     for (const auto& [service, releases] : listed)
     {
         for (const release_id release : releases)
-            see(now, service, release);
+            record_release(now, service, release);
         services_[service].listed = releases;
     }
 }
@@ -101,23 +104,23 @@
 {
     if (!started_)
         started_ = now;
-    if (at <= current_at_)
+    if (at <= listing_time_)
         return;
-    // What came and went meanwhile may not have been seen.
-    if (at - current_at_ > fresh_for)
+    // A release may have been added and removed during the gap.
+    if (at - listing_time_ > max_listing_age)
     {
-        watched_since_.reset();
-        asked_since_ = now;
-        is_informed_ = false;
+        observed_since_.reset();
+        requesting_since_ = now;
+        has_release_copy_ = false;
     }
-    if (!watched_since_)
-        watched_since_ = at;
-    current_at_ = at;
+    if (!observed_since_)
+        observed_since_ = at;
+    listing_time_ = at;
 }
 
 void stream_releases::note_moved(time_point now, service_id service)
 {
-    services_[service].moved = now;
+    services_[service].route_moved_at = now;
 }
 
 void stream_releases::set_shared(std::set<service_id> services)
@@ -128,26 +131,28 @@
 bool stream_releases::note(time_point now, const stream_note& sent)
 {
     const entry* const known = own_.find(sent.key);
-    const bool moves = known != nullptr && known->release != sent.release;
-    // An attempt that was withheld gives its number to the next one.
-    const unsigned least =
-        known == nullptr ? 0 : known->attempt + (moves ? 1 : 0);
-    const bool is_news = known == nullptr || moves;
-    entry& made = own_.renew(now, sent.key);
-    made.service = sent.service;
-    made.release = sent.release;
-    made.attempt = std::max(sent.attempt, least);
-    made.ended.reset();
-    if (is_news)
-        remember_untold(sent.key, made);
-    return moves;
+    const bool release_changed =
+        known != nullptr && known->release != sent.release;
+    // The attempt after a withheld one has the same number, so a change of
+    // release increments it.
+    const unsigned min_attempt =
+        known == nullptr ? 0 : known->attempt + (release_changed ? 1 : 0);
+    const bool is_unreported = known == nullptr || release_changed;
+    entry& stored = own_.refresh(now, sent.key);
+    stored.service = sent.service;
+    stored.release = sent.release;
+    stored.attempt = std::max(sent.attempt, min_attempt);
+    stored.ended_at.reset();
+    if (is_unreported)
+        queue_report(sent.key, stored);
+    return release_changed;
 }
 
-void stream_releases::remember_untold(stream_key key, entry& sent)
+void stream_releases::queue_report(stream_key key, entry& sent)
 {
-    if (!sent.is_pending)
-        untold_.push_back(key);
-    sent.is_pending = true;
+    if (!sent.is_queued)
+        unreported_.push_back(key);
+    sent.is_queued = true;
 }
 
 void stream_releases::note_resumed(time_point now, stream_key key,
@@ -156,63 +161,66 @@
     const entry* const known = own_.find(key);
     if (known != nullptr && known->release != release)
         return;
-    entry& made = own_.renew(now, key);
-    made.service = service;
-    made.release = release;
-    made.ended.reset();
-    remember_untold(key, made);
+    entry& stored = own_.refresh(now, key);
+    stored.service = service;
+    stored.release = release;
+    stored.ended_at.reset();
+    queue_report(key, stored);
 }
 
 void stream_releases::end(time_point now, stream_key key)
 {
     const auto found = own_.known.find(key);
     if (found != own_.known.end())
-        found->second.ended = now;
+        found->second.ended_at = now;
 }
 
-void stream_releases::learn(time_point now, const stream_note& told)
+void stream_releases::store_remote(time_point now, const stream_note& remote)
 {
-    const entry* const known = told_.find(told.key);
-    const bool moves = known != nullptr && known->release != told.release;
-    if (moves && told.attempt <= known->attempt)
+    const entry* const known = remote_.find(remote.key);
+    const bool release_changed =
+        known != nullptr && known->release != remote.release;
+    if (release_changed && remote.attempt <= known->attempt)
         return;
-    entry& made = told_.renew(now, told.key);
-    made.service = told.service;
-    made.release = told.release;
-    made.attempt = std::max(made.attempt, told.attempt);
+    entry& stored = remote_.refresh(now, remote.key);
+    stored.service = remote.service;
+    stored.release = remote.release;
+    stored.attempt = std::max(stored.attempt, remote.attempt);
 }
 
-void stream_releases::hear(time_point now, std::span<const stream_note> told)
+void stream_releases::hear(time_point now, std::span<const stream_note> remote)
 {
-    for (const stream_note& each : told)
+    for (const stream_note& each : remote)
     {
-        see(now, each.service, each.release);
+        record_release(now, each.service, each.release);
         const entry* const own = own_.find(each.key);
-        // It was resumed elsewhere, or a relay brings back what was told here.
+        // The stream was resumed at another instance, or an aggregator relayed
+        // this instance's own report back.
         if (own != nullptr && own->release == each.release)
-            own_.renew(now, each.key);
+            own_.refresh(now, each.key);
         else
-            learn(now, each);
+            store_remote(now, each);
     }
-    dropped_ += told_.drop(now - kept_for_, most_told);
+    dropped_ += remote_.evict(now - retention_, max_remote_streams);
 }
 
 stream_releases::finding stream_releases::find(time_point now,
                                                stream_key key) const
 {
-    const auto kept = [&](const entry* which) {
-        return which != nullptr && now - which->at <= kept_for_ ? which
-                                                                : nullptr;
+    const auto unexpired = [&](const entry* stream)
+    {
+        return stream != nullptr && now - stream->at <= retention_ ? stream
+                                                                   : nullptr;
     };
-    const entry* const own = kept(own_.find(key));
-    const entry* const told = kept(told_.find(key));
-    const bool is_own =
-        own != nullptr && (told == nullptr || told->attempt <= own->attempt);
-    const entry* const best = is_own ? own : told;
-    if (best == nullptr)
+    const entry* const own = unexpired(own_.find(key));
+    const entry* const remote = unexpired(remote_.find(key));
+    const bool use_own = own != nullptr &&
+                         (remote == nullptr || remote->attempt <= own->attempt);
+    const entry* const chosen = use_own ? own : remote;
+    if (chosen == nullptr)
         return {};
-    return {is_own ? stream_source::own : stream_source::told, best->service,
-            best->release};
+    return {use_own ? stream_source::own : stream_source::reported,
+            chosen->service, chosen->release};
 }
 
 std::optional<release_id> stream_releases::sole(time_point now,
@@ -221,9 +229,9 @@
     const auto found = services_.find(service);
     if (found == services_.end() || must_tell(now, service))
         return std::nullopt;
-    for (const auto& [release, last] : found->second.seen)
+    for (const auto& [release, last] : found->second.last_listed)
     {
-        if (may_have_begun(now, found->second, release, last))
+        if (may_own_streams(now, found->second, release, last))
             return release;
     }
     return std::nullopt;
@@ -232,22 +240,23 @@
 bool stream_releases::must_tell(time_point now, service_id service) const
 {
     const auto found = services_.find(service);
-    if (!is_complete(now) || shared_.contains(service) ||
+    if (!knows_all_releases(now) || shared_.contains(service) ||
         found == services_.end())
         return true;
-    const history& of = found->second;
-    if (of.moved && now - *of.moved <= history_for())
+    const service_history& history = found->second;
+    if (history.route_moved_at &&
+        now - *history.route_moved_at <= release_lifetime())
         return true;
     const auto count = std::count_if(
-        of.seen.begin(), of.seen.end(),
+        history.last_listed.begin(), history.last_listed.end(),
         [&](const auto& each)
-        { return may_have_begun(now, of, each.first, each.second); });
+        { return may_own_streams(now, history, each.first, each.second); });
     return count > 1;
 }
 
-bool stream_releases::any_must_tell(time_point now) const
+bool stream_releases::any_must_report(time_point now) const
 {
-    return !is_complete(now) ||
+    return !knows_all_releases(now) ||
            std::any_of(services_.begin(), services_.end(),
                        [&](const auto& each)
                        { return must_tell(now, each.first); });
@@ -255,117 +264,123 @@
 
 std::vector<stream_note> stream_releases::take_untold(time_point now)
 {
-    sweep(now);
+    remove_expired(now);
     std::vector<stream_note> result;
-    if (!any_must_tell(now))
+    if (!any_must_report(now))
         return result;
-    std::erase_if(untold_,
+    std::erase_if(unreported_,
                   [&](stream_key key)
                   {
                       const auto found = own_.known.find(key);
                       if (found == own_.known.end())
                           return true;
                       entry& sent = found->second;
-                      if (is_due(now, sent))
+                      if (dequeue_if_due(now, sent))
                           result.push_back(
                               {key, sent.service, sent.release, sent.attempt});
-                      return !sent.is_pending;
+                      return !sent.is_queued;
                   });
     return result;
 }
 
-bool stream_releases::is_due(time_point now, entry& sent) const
+bool stream_releases::dequeue_if_due(time_point now, entry& sent) const
 {
-    const bool is_over = sent.ended && now - *sent.ended > ended_for;
-    const bool is_due =
-        sent.is_pending && !is_over && must_tell(now, sent.service);
-    sent.is_pending = sent.is_pending && !is_over && !is_due;
-    return is_due;
+    const bool is_expired =
+        sent.ended_at && now - *sent.ended_at > resume_grace_period;
+    const bool due =
+        sent.is_queued && !is_expired && must_tell(now, sent.service);
+    sent.is_queued = sent.is_queued && !is_expired && !due;
+    return due;
 }
 
 void stream_releases::retell()
 {
     for (auto& [key, sent] : own_.known)
-        remember_untold(key, sent);
+        queue_report(key, sent);
 }
 
 bool stream_releases::wants_streams(time_point now) const
 {
-    return !has_copy_ && started_ && now - *started_ < patience;
+    return !has_stream_copy_ && started_ &&
+           now - *started_ < copy_request_period;
 }
 
 bool stream_releases::wants_releases(time_point now) const
 {
-    return !is_informed_ && watched_since_ && now - asked_since_ < patience;
+    return !has_release_copy_ && observed_since_ &&
+           now - requesting_since_ < copy_request_period;
 }
 
 std::optional<stream_copy> stream_releases::copy(time_point now,
                                                  bool has_started) const
 {
     const std::optional<time_point>& since =
-        has_started ? started_ : watched_since_;
-    if (!since || now - *since < settled_after)
+        has_started ? started_ : observed_since_;
+    if (!since || now - *since < min_observation_time)
         return std::nullopt;
-    stream_copy made;
-    for (const memory* from : {&own_, &told_})
+    stream_copy result;
+    for (const stream_table* from : {&own_, &remote_})
     {
-        // Newest first: the oldest are left out.
+        // Newest first, so that the size limit omits the oldest streams.
         for (auto each = from->order.rbegin();
-             each != from->order.rend() && made.streams.size() < most_copied;
+             each != from->order.rend() &&
+             result.streams.size() < max_copied_streams;
              ++each)
         {
             const entry* const known = from->find(each->key);
             if (known != nullptr && known->at == each->at)
-                made.streams.push_back({each->key, known->service,
-                                        known->release, known->attempt});
+                result.streams.push_back({each->key, known->service,
+                                          known->release, known->attempt});
         }
     }
-    for (const auto& [service, of] : services_)
+    for (const auto& [service, history] : services_)
     {
-        for (const auto& [release, last] : of.seen)
+        for (const auto& [release, last] : history.last_listed)
         {
-            const bool listed = of.listed.contains(release);
-            made.releases.seen.push_back(
+            const bool listed = history.listed.contains(release);
+            result.releases.seen.push_back(
                 {service, release,
                  listed ? milliseconds(0)
                         : std::chrono::floor<milliseconds>(now - last)});
         }
     }
-    if (is_fresh(now) && watched_since_)
-        made.releases.watched_for =
-            std::chrono::floor<milliseconds>(now - *watched_since_);
-    return made;
+    if (is_listing_current(now) && observed_since_)
+        result.releases.watched_for =
+            std::chrono::floor<milliseconds>(now - *observed_since_);
+    return result;
 }
 
 void stream_releases::adopt(time_point now, const stream_copy& known)
 {
-    has_copy_ = true;
+    has_stream_copy_ = true;
     for (const stream_note& each : known.streams)
-        learn(now, each);
-    dropped_ += told_.drop(now - kept_for_, most_told);
+        store_remote(now, each);
+    dropped_ += remote_.evict(now - retention_, max_remote_streams);
     for (const release_sight& each : known.releases.seen)
-        see(now - each.age, each.service, each.release);
-    // Without news of its own this instance may miss what came since.
-    if (!watched_since_ || !is_fresh(now))
+        record_release(now - each.age, each.service, each.release);
+    // Without a current endpoint listing this instance may lack a release that
+    // was added after the copy was made.
+    if (!observed_since_ || !is_listing_current(now))
         return;
-    watched_since_ =
-        std::min<time_point>(*watched_since_, now - known.releases.watched_for);
-    is_informed_ = known.releases.watched_for >= settled_after;
+    observed_since_ = std::min<time_point>(*observed_since_,
+                                           now - known.releases.watched_for);
+    has_release_copy_ = known.releases.watched_for >= min_observation_time;
 }
 
-void stream_releases::sweep(time_point now)
+void stream_releases::remove_expired(time_point now)
 {
-    dropped_ += own_.drop(now - kept_for_, most_own);
-    dropped_ += told_.drop(now - kept_for_, most_told);
-    if (untold_.size() > 2 * own_.size())
-        std::erase_if(untold_, [this](stream_key key)
+    dropped_ += own_.evict(now - retention_, max_own_streams);
+    dropped_ += remote_.evict(now - retention_, max_remote_streams);
+    if (unreported_.size() > 2 * own_.size())
+        std::erase_if(unreported_, [this](stream_key key)
                       { return own_.find(key) == nullptr; });
-    for (auto& [service, of] : services_)
-        std::erase_if(of.seen,
-                      [&of = of, now](const auto& each)
+    for (auto& [service, history] : services_)
+        std::erase_if(history.last_listed,
+                      [&history = history, now](const auto& each)
                       {
-                          return !of.listed.contains(each.first) &&
-                                 now - each.second > most_kept + listing_skew;
+                          return !history.listed.contains(each.first) &&
+                                 now - each.second >
+                                     max_retention + listing_skew;
                       });
 }
 
--- a/packages/core/unittests/direct_releases_test.cpp
+++ b/packages/core/unittests/direct_releases_test.cpp
@@ -115,7 +115,7 @@
     fix.one.streams.note(fix.one.now, sent_to(second, "a"));
     cr_expect(fix.one.source_of("a") == stream_source::own);
     cr_expect_eq(fix.tell(), 1U);
-    cr_expect(fix.other.source_of("a") == stream_source::told);
+    cr_expect(fix.other.source_of("a") == stream_source::reported);
     cr_expect(fix.other.release_of_stream("a") == second);
     cr_expect_eq(fix.tell(), 0U);
 }
@@ -141,7 +141,7 @@
     watcher started;
     cr_expect_not(started.streams.sole(started.now, drafts).has_value());
     cr_expect(started.streams.must_tell(started.now, drafts));
-    started.pass(stream_releases::least_kept);
+    started.pass(stream_releases::min_retention);
     cr_expect_not(started.streams.sole(started.now, drafts).has_value());
     started.pass(long_enough);
     cr_expect(started.streams.sole(started.now, drafts).has_value());
@@ -157,7 +157,7 @@
     fix.one.streams.note(fix.one.now, sent_to(first, "done"));
     fix.one.streams.end(fix.one.now, key_of("done"));
     cr_assert_eq(fix.tell(), 0U);
-    fix.pass(stream_releases::ended_for + milliseconds(100));
+    fix.pass(stream_releases::resume_grace_period + milliseconds(100));
     fix.list({first, second});
     cr_expect_not(fix.other.streams.sole(fix.other.now, drafts).has_value());
     cr_expect_eq(fix.tell(), 1U);
@@ -187,7 +187,7 @@
     fix.pass(seconds(2));
     fix.list({first});
     const duration remembered =
-        fix.one.streams.kept_for() + stream_releases::listing_skew;
+        fix.one.streams.retention() + stream_releases::listing_skew;
     fix.pass(remembered - seconds(1));
     cr_expect_not(fix.one.streams.sole(fix.one.now, drafts).has_value());
     cr_expect(fix.one.streams.must_tell(fix.one.now, drafts));
@@ -219,7 +219,7 @@
     two_watchers fix;
     fix.one.streams.note(fix.one.now, sent_to(first, "a"));
     fix.one.is_cut_off = true;
-    fix.one.pass(stream_releases::fresh_for + milliseconds(100));
+    fix.one.pass(stream_releases::max_listing_age + milliseconds(100));
     cr_expect_not(fix.one.streams.sole(fix.one.now, drafts).has_value());
     cr_expect(fix.one.streams.must_tell(fix.one.now, drafts));
     cr_expect_eq(fix.one.streams.take_untold(fix.one.now).size(), 1U);
@@ -318,7 +318,7 @@
 {
     watcher older;
     cr_expect_not(older.streams.copy(older.now, true).has_value());
-    older.pass(stream_releases::settled_after + milliseconds(400));
+    older.pass(stream_releases::min_observation_time + milliseconds(400));
     older.streams.note(older.now, sent_to(first, "a"));
     const auto copy = older.streams.copy(older.now, true);
     cr_assert(copy.has_value());
@@ -327,9 +327,9 @@
     started.streams.adopt(started.now, *copy);
     cr_expect(started.release_of_stream("a") == first);
     cr_expect_not(started.streams.sole(started.now, drafts).has_value());
-    const duration left = older.streams.kept_for() +
+    const duration left = older.streams.retention() +
                           stream_releases::listing_skew -
-                          stream_releases::settled_after;
+                          stream_releases::min_observation_time;
     started.pass(left);
     cr_expect(started.streams.sole(started.now, drafts).has_value());
 }
@@ -341,7 +341,7 @@
     fix.one.streams.note(fix.one.now, sent_to(first, "a"));
     fix.one = watcher();
     fix.other = watcher();
-    for (duration passed{0}; passed < stream_releases::patience;
+    for (duration passed{0}; passed < stream_releases::copy_request_period;
          passed += milliseconds(200))
     {
         cr_expect_not(fix.one.streams.copy(fix.one.now, true).has_value());
@@ -459,7 +459,7 @@
     fix.one.streams.note(fix.one.now, sent_to(second, "done"));
     fix.one.streams.end(fix.one.now, key_of("done"));
     cr_assert_eq(fix.one.streams.take_untold(fix.one.now).size(), 2U);
-    fix.pass(stream_releases::ended_for + milliseconds(100));
+    fix.pass(stream_releases::resume_grace_period + milliseconds(100));
     fix.one.streams.retell();
     cr_expect_eq(fix.tell(), 1U);
     cr_expect(fix.other.release_of_stream("a") == second);
@@ -532,8 +532,8 @@
     fix.list({first, second});
     fix.one.streams.note(fix.one.now, sent_to(second, "a"));
     fix.tell();
-    fix.pass(fix.one.streams.kept_for());
-    cr_expect(fix.other.source_of("a") == stream_source::told);
+    fix.pass(fix.one.streams.retention());
+    cr_expect(fix.other.source_of("a") == stream_source::reported);
     fix.pass(milliseconds(200));
     cr_expect(fix.one.source_of("a") == stream_source::unknown);
     cr_expect(fix.other.source_of("a") == stream_source::unknown);
@@ -548,11 +548,11 @@
 {
     stream_releases streams;
     streams.set_longest(seconds(1));
-    cr_expect(streams.kept_for() == stream_releases::least_kept);
+    cr_expect(streams.retention() == stream_releases::min_retention);
     streams.set_longest(seconds(20));
-    cr_expect(streams.kept_for() == seconds(40));
+    cr_expect(streams.retention() == seconds(40));
     streams.set_longest(seconds(1000));
-    cr_expect(streams.kept_for() == stream_releases::most_kept);
+    cr_expect(streams.retention() == stream_releases::max_retention);
 }
 
 // Guards against memory that callers can fill, and against drops that nobody
@@ -563,26 +563,26 @@
     fix.list({first, second});
     constexpr std::size_t excess = 10;
     std::vector<stream_note> told;
-    for (std::size_t i = 0; i < stream_releases::most_told + excess; ++i)
+    for (std::size_t i = 0; i < stream_releases::max_remote_streams + excess; ++i)
     {
         told.push_back({stream_key(i + 1), drafts, second, 1});
-        if (i < stream_releases::most_own + excess)
+        if (i < stream_releases::max_own_streams + excess)
             fix.one.streams.note(fix.one.now, told.back());
     }
     fix.other.streams.hear(fix.other.now, told);
-    cr_expect_eq(fix.other.streams.kept(), stream_releases::most_told);
+    cr_expect_eq(fix.other.streams.kept(), stream_releases::max_remote_streams);
     cr_expect_eq(fix.other.streams.dropped(), excess);
     cr_expect(
         fix.other.streams.find(fix.other.now, stream_key(excess)).source ==
         stream_source::unknown);
     cr_expect(
         fix.other.streams.find(fix.other.now, stream_key(excess + 1)).source ==
-        stream_source::told);
+        stream_source::reported);
     cr_expect_eq(fix.one.streams.take_untold(fix.one.now).size(),
-                 stream_releases::most_own);
+                 stream_releases::max_own_streams);
     cr_expect_eq(fix.one.streams.dropped(), excess);
     const auto copy = fix.other.streams.copy(fix.other.now, true);
-    cr_expect_eq(copy->streams.size(), stream_releases::most_copied);
+    cr_expect_eq(copy->streams.size(), stream_releases::max_copied_streams);
 }
 
 // Guards against memory that grows with each time that one stream is resumed.
@@ -607,7 +607,7 @@
 Test(direct_releases, with_too_many_releases_nobody_guesses)
 {
     two_watchers fix;
-    for (std::size_t i = 0; i <= stream_releases::most_releases; ++i)
+    for (std::size_t i = 0; i <= stream_releases::max_releases_per_service; ++i)
         fix.one.list({release_of(drafts, "n" + std::to_string(i))});
     fix.one.list({first});
     cr_expect_not(fix.one.streams.sole(fix.one.now, drafts).has_value());
--- a/packages/core/unittests/direct_resume_test.cpp
+++ b/packages/core/unittests/direct_resume_test.cpp
@@ -221,7 +221,7 @@
     for (const milliseconds later : {milliseconds(1), milliseconds(9000)})
     {
         const stream_resolution found = other.resolve(start + later, "a");
-        cr_assert(found.source == stream_source::told);
+        cr_assert(found.source == stream_source::reported);
         cr_expect(found.service == drafts);
         cr_expect(*found.release == new_release);
     }
@@ -231,7 +231,7 @@
     other.decides.note_resumed(late, key_of("a"), again);
     instance third;
     third.decides.on_report(late, other.report(late));
-    cr_expect(third.resolve(late, "a").source == stream_source::told);
+    cr_expect(third.resolve(late, "a").source == stream_source::reported);
     cr_expect(*third.resolve(late, "a").release == new_release);
 }
 
