--- a/packages/core/include/sycamorelock/core/direct/exchange.hpp
+++ b/packages/core/include/sycamorelock/core/direct/exchange.hpp
@@ -19,7 +19,7 @@
 
 using std::chrono::milliseconds;
 
-/// Reports that a request with these prompt parts was sent to an engine.
+/// Reports that an engine processes or has cached these prompt parts.
 /// Receivers learn from it which prefixes the engine's KV cache holds and how
 /// many requests use the prompt.
 struct cache_note
