--- a/packages/core/include/sycamorelock/core/direct/exchange.hpp
+++ b/packages/core/include/sycamorelock/core/direct/exchange.hpp
@@ -30,8 +30,8 @@
     milliseconds due{0};
 };
 
-/// Performance figures of the engines of a service, as an instance has
-/// estimated them from requests.
+/// Performance figures of the engines of a service, as estimated by an
+/// instance.
 struct service_figures
 {
     service_id service;
@@ -85,10 +85,10 @@
     std::string text;
 };
 
-/// An instance's state of the data in the platform's store. An aggregator sends
-/// it to its members, which then need not read the store themselves. Every
-/// report contains it, so that receivers can send a copy to an instance whose
-/// data is older.
+/// The data that an instance has read from the platform's store, and its age.
+/// An aggregator sends it to its members, which then need not read the store
+/// themselves. Every report contains it, so that receivers can send a copy to
+/// an instance whose data is older.
 struct store_view
 {
     /// The store's revision up to which the sender has read.
--- a/packages/core/include/sycamorelock/core/direct/stream_releases.hpp
+++ b/packages/core/include/sycamorelock/core/direct/stream_releases.hpp
@@ -70,7 +70,7 @@
     unknown,
     /// This instance sent the request of the stream.
     own,
-    /// Another instance reported the stream. Written as "told".
+    /// Another instance reported the stream. `to_string` returns "told".
     reported,
     /// The service has had endpoints of no other release during the time for
     /// which streams are remembered.
@@ -83,7 +83,7 @@
 class stream_releases
 {
   public:
-    /// Bounds of the time for which a stream is remembered.
+    /// Bounds on the time for which a stream is remembered.
     static constexpr duration min_retention = std::chrono::seconds(10);
     static constexpr duration max_retention = std::chrono::seconds(60);
     /// Maximum number of remembered streams of other instances; the oldest are
--- a/packages/core/unittests/direct_resume_test.cpp
+++ b/packages/core/unittests/direct_resume_test.cpp
@@ -158,8 +158,8 @@
     cr_expect(fix.refuse(start, old_release).reason == refusal::release_gone);
 }
 
-// Guards against a release reported as gone while its endpoints only have
-// requested back-off or are drained: they will serve again.
+// Guards against a refusal with `release_gone` while the endpoints of the
+// release have only requested back-off or are drained: they will serve again.
 Test(direct_resume, an_endpoint_in_back_off_or_drained_is_not_gone)
 {
     instance fix;
@@ -303,7 +303,8 @@
 }
 
 // Guards against a stream that is resumed at another service, because the
-// weights of its route select one or a configuration has moved the route.
+// weights of its route select that service or a configuration has moved the
+// route.
 Test(direct_resume, a_stream_is_resumed_at_the_service_that_started_it)
 {
     instance fix;
