--- a/packages/core/include/sycamorelock/core/direct/endpoint_health.hpp
+++ b/packages/core/include/sycamorelock/core/direct/endpoint_health.hpp
@@ -1,6 +1,6 @@
-// How an endpoint has done lately: its speed against the prediction, failures,
-// and whether it is set aside. Old experience fades, so that an endpoint that
-// recovers is tried again.
+// Recent health of an endpoint: its slowdown factor, its failure rate, and
+// whether it is ejected. Past observations decay, so that an endpoint that has
+// recovered is used again.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -8,35 +8,42 @@
 namespace sycamorelock::core::direct
 {
 
+/// Exponentially decaying averages of the outcomes that one instance observed
+/// at one endpoint.
 class endpoint_health
 {
   public:
-    /// A first token came: `actual` against `predicted` time.
+    /// Records the observed and the predicted time to the first token.
     void first_token(time_point now, double actual_ms, double predicted_ms);
+    /// Records a request that succeeded.
     void succeeded(time_point now);
-    /// It failed a request that it may have run.
+    /// Records a failure of a request that the endpoint may have executed.
     void failed(time_point now);
-    /// It could not be reached, or was silent for too long.
+    /// Records that the endpoint could not be reached or sent nothing within
+    /// its timeout, and ejects it for a time that doubles with each such
+    /// failure in a row.
     void unreachable(time_point now);
 
-    /// Observed time over predicted time, 1 if nothing is known.
+    /// Slowdown factor: observed over predicted time, 1 if nothing is known.
     [[nodiscard]] double slowness(time_point now) const;
-    /// Share of failures among recent requests.
+    /// Fraction of recent requests that failed, from 0 to 1.
     [[nodiscard]] double failure_rate(time_point now) const;
+    /// Whether the endpoint is ejected: it was unreachable a short time ago.
     [[nodiscard]] bool set_aside(time_point now) const
     {
-        return now < aside_until_;
+        return now < ejected_until_;
     }
 
   private:
-    void note(time_point now, double failure);
+    /// \param failure 1 for a failed request, 0 for one that succeeded.
+    void record_outcome(time_point now, double failure);
 
-    double log_slowness_ = 0;
-    time_point slowness_at_;
-    double failures_ = 0;
-    time_point failures_at_;
-    unsigned unreachable_in_a_row_ = 0;
-    time_point aside_until_;
+    double log_slowdown_ = 0;
+    time_point slowdown_at_;
+    double failure_rate_ = 0;
+    time_point failure_rate_at_;
+    unsigned consecutive_unreachable_ = 0;
+    time_point ejected_until_;
 };
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/include/sycamorelock/core/direct/peers.hpp
+++ b/packages/core/include/sycamorelock/core/direct/peers.hpp
@@ -1,4 +1,5 @@
-// Which other instances live, found from a few seeds and from what those tell.
+// Membership of the fleet: which other instances are reachable. Instances are
+// discovered from a few seed addresses and from the peers that reports list.
 #pragma once
 
 #include "sycamorelock/core/direct/exchange.hpp"
@@ -11,77 +12,93 @@
 namespace sycamorelock::core::direct
 {
 
+/// Tracks the other instances by the numbers of the reports that they send or
+/// that others have received from them. Not thread-safe.
 class peers
 {
   public:
-    /// An instance of which nothing new was heard for this time counts as gone.
-    /// Thirty reports; in a large fleet news takes about a second to get
-    /// around.
-    static constexpr duration silent_after = std::chrono::seconds(3);
-    /// Afterwards it is still tried for this time, in case a cut heals.
+    /// An instance counts as unreachable if no newer report of it has become
+    /// known for this time. That is thirty report periods; in a large fleet, a
+    /// report number takes about a second to reach every instance.
+    static constexpr duration unreachable_after = std::chrono::seconds(3);
+    /// Reports are still sent to an instance for this time after its last
+    /// report, so that the fleet reunites after a network partition.
     static constexpr duration forget_after = std::chrono::seconds(60);
-    /// A link whose reports are not acknowledged for this time is dialled
-    /// anew: connections can go silent without a reset.
+    /// A connection whose reports have not been acknowledged for this time is
+    /// reopened, because a connection can stop delivering without a reset.
     static constexpr duration stale_link_after = std::chrono::seconds(2);
-    /// Up to this many others, each instance tells each other everything: at
-    /// ten reports a second that costs under a hundredth of a core. Beyond it
-    /// the exchange goes by aggregators.
+    /// Up to this many other instances, every instance sends its full reports
+    /// to every other one, which costs less than a hundredth of a core at ten
+    /// reports per second. Larger fleets exchange reports through aggregators.
     static constexpr std::size_t mesh_limit = 12;
-    /// Instances that a large fleet's instance tells of others in each round,
-    /// and how many others it tells them of.
+    /// Number of reachable instances that an instance of a large fleet gossips
+    /// to in each round.
     static constexpr std::size_t gossip_fanout = 2;
+    /// Maximum number of peers that a report lists.
     static constexpr std::size_t gossip_size = 20;
 
+    /// \param self IP:port of this instance's exchange.
+    /// \param domain failure domain of this instance.
+    /// \param incarnation a number that grows with each start of this instance.
+    /// \param seeds addresses of instances to contact first.
     peers(std::string self, domain_id domain, std::uint64_t incarnation,
           const std::vector<std::string>& seeds);
 
     void set_seeds(const std::vector<std::string>& seeds);
-    /// This instance is about to end and aggregates no more if another can.
+    /// Marks this instance as leaving: it stays the aggregator of its failure
+    /// domain only if no other instance can take over.
     void leave() { leaving_ = true; }
 
-    /// Takes a report. Returns false if it is an old one or from a process
-    /// that has ended.
+    /// Processes a report that came directly from its sender. Returns false if
+    /// it is outdated, from an earlier incarnation of the sender, or from this
+    /// instance itself.
     bool heard(time_point now, const exchange_report& report);
 
-    /// Whether nothing newer of its sender is known. After a cut, connections
-    /// bring reports of its whole length.
+    /// Whether no newer report of its sender is known. After a network
+    /// partition, connections deliver the reports that queued up throughout it.
     [[nodiscard]] bool is_newest(const exchange_report& report) const;
 
-    /// Fills in the sender and what it knows of others.
+    /// Fills in the sender's fields and a random sample of the reachable peers,
+    /// and removes peers whose `forget_after` has passed.
     void fill_report(time_point now, exchange_report& report);
-    /// Numbers a report. A receiver takes only higher numbers than before.
+    /// Assigns the next number to a report. A receiver ignores reports whose
+    /// number is not higher than that of the last one.
     void number(exchange_report& report) { report.number = ++number_; }
 
-    /// Instances that may send requests: all that were heard of and are not
-    /// forgotten, also silent ones, as a cut looks like their end. Those that
-    /// left are not among them.
+    /// Instances that may send requests to endpoints: all with a known report
+    /// that have not been forgotten. Unreachable instances are included, since
+    /// they may be running behind a network partition; those that were leaving
+    /// before they became unreachable are not.
     [[nodiscard]] std::vector<fleet_member> members(time_point now) const;
 
-    /// Whether the fleet is too large for everyone to tell everyone.
+    /// Whether the fleet is too large for a full mesh of reports.
     [[nodiscard]] bool large(time_point now) const
     {
         return live(now) > mesh_limit;
     }
 
-    /// Everyone to send reports to in a small fleet.
+    /// Addresses to send reports to in a small fleet: the seeds and all known
+    /// peers.
     [[nodiscard]] std::vector<std::string> everyone() const;
-    /// A few, drawn at random, to tell of instances in a large fleet.
+    /// Randomly drawn addresses to gossip to in a large fleet.
     std::vector<std::string> gossip_targets(time_point now);
-    /// The instance that should aggregate a failure domain: of those that live
-    /// and stay the one that started first, by the incarnation that each tells.
-    /// Empty if it is this one, or none lives there and stays.
+    /// Address of the instance that should aggregate a failure domain: the one
+    /// with the lowest incarnation, hence the longest running, of those that
+    /// are reachable and not leaving. Empty if that is this instance or if the
+    /// domain has no such instance.
     [[nodiscard]] std::string aggregator(time_point now,
                                          domain_id domain) const;
-    /// Failure domains of live instances other than the own one.
+    /// Failure domains of reachable instances, without this instance's own.
     [[nodiscard]] std::set<domain_id> other_domains(time_point now) const;
 
-    /// Addresses whose link must be dialled anew.
+    /// Addresses whose connection must be reopened, each at most once per
+    /// `stale_link_after`.
     std::vector<std::string> stale_links(time_point now);
 
-    /// Instances heard of lately, without this one.
+    /// Number of reachable instances, without this one.
     [[nodiscard]] std::size_t live(time_point now) const;
 
-    /// Those that fell silent since the last call.
+    /// Instances that became unreachable since the last call.
     std::vector<instance_id> newly_silent(time_point now);
 
   private:
@@ -89,25 +106,32 @@
     {
         domain_id domain;
         std::uint64_t incarnation = 0;
-        /// Number of the newest report known, by whatever way.
+        /// Number of the newest report known, directly or through other
+        /// instances.
         std::uint64_t number = 0;
-        /// Number of the newest report that came from it directly.
+        /// Number of the newest report received from it directly.
         std::uint64_t direct_number = 0;
-        /// Newest of our reports that it has acknowledged, and when we last
-        /// sent one that it should.
+        /// Number of the newest own report that it has acknowledged.
         std::uint64_t acknowledged = 0;
+        /// Start of the wait for the next acknowledgement: the time of the last
+        /// acknowledgement, or of the last request to reopen the connection.
         time_point acknowledged_at;
-        time_point heard_at;
+        /// When the newest known report became known.
+        time_point last_report_at;
         time_point known_since;
+        /// Cleared by `newly_silent` once the peer is unreachable.
         bool live = false;
         bool leaving = false;
     };
 
     [[nodiscard]] bool is_live(time_point now, const peer& which) const
     {
-        return which.live && now - which.heard_at < silent_after;
+        return which.live && now - which.last_report_at < unreachable_after;
     }
-    void learn(time_point now, const peer_sight& seen);
+    /// Takes over what another instance reported about a peer.
+    void merge_sighting(time_point now, const peer_sight& seen);
+    /// Records the newest own report that `from` has received, according to its
+    /// entry for this instance.
     void acknowledge(time_point now, peer& from, const peer_sight& own);
 
     std::string self_;
--- a/packages/core/lib/direct/endpoint_health.cpp
+++ b/packages/core/lib/direct/endpoint_health.cpp
@@ -1,4 +1,5 @@
-// Exponential averages that fade towards "nothing known".
+// Exponential moving averages that decay to their initial values, a slowdown
+// factor of 1 and a failure rate of 0.
 #include "sycamorelock/core/direct/endpoint_health.hpp"
 
 #include <algorithm>
@@ -10,23 +11,27 @@
 namespace
 {
 
-/// Weight of one observation of the speed. An instance sees about one first
-/// token a second from each engine; a slow engine shows after three.
-constexpr double speed_weight = 0.25;
-/// A single reading may not say more than this factor: predictions rest on
-/// reports that are some hundred ms old.
-constexpr double most_slowness = 8;
-/// Below this prediction, in ms, delays of the network and of this process
-/// would pass for a slow engine.
-constexpr double least_prediction = 40;
+/// Weight of one slowdown observation. An instance observes about one first
+/// token per second from each engine, and detects a slow engine after three.
+constexpr double slowdown_weight = 0.25;
+/// Limit of a single observation and of the average, as a factor in either
+/// direction: predictions are based on reports that are some hundred
+/// milliseconds old.
+constexpr double max_slowdown = 8;
+/// Added to the observed and the predicted time, so that delays of the network
+/// and of this process don't count as a slowdown when the prediction is short.
+constexpr double latency_allowance_ms = 40;
+/// Weight of one request in the failure rate.
 constexpr double failure_weight = 0.2;
-/// After this time half of the experience is gone.
+/// Half-life of both averages.
 constexpr double half_life_s = 6;
-constexpr duration first_pause = std::chrono::milliseconds(500);
-constexpr duration longest_pause = std::chrono::seconds(4);
-constexpr unsigned most_doublings = 3;
+/// Ejection time after the first failure in a row; it doubles with each further
+/// one up to the maximum.
+constexpr duration initial_ejection = std::chrono::milliseconds(500);
+constexpr duration max_ejection = std::chrono::seconds(4);
+constexpr unsigned max_doublings = 3;
 
-double fade(time_point from, time_point now)
+double decay_factor(time_point from, time_point now)
 {
     const double seconds = std::chrono::duration<double>(now - from).count();
     return std::exp2(-std::max(0.0, seconds) / half_life_s);
@@ -37,52 +42,54 @@
 void endpoint_health::first_token(time_point now, double actual_ms,
                                   double predicted_ms)
 {
-    const double ratio = std::clamp((actual_ms + least_prediction) /
-                                        (predicted_ms + least_prediction),
-                                    1 / most_slowness, most_slowness);
-    const double before = log_slowness_ * fade(slowness_at_, now);
-    // The prediction already holds the slowness, so the ratio corrects it.
-    log_slowness_ = before + speed_weight * std::log(ratio);
-    log_slowness_ = std::clamp(log_slowness_, -std::log(most_slowness),
-                               std::log(most_slowness));
-    slowness_at_ = now;
+    const double ratio = std::clamp((actual_ms + latency_allowance_ms) /
+                                        (predicted_ms + latency_allowance_ms),
+                                    1 / max_slowdown, max_slowdown);
+    const double before = log_slowdown_ * decay_factor(slowdown_at_, now);
+    // The prediction already includes the current slowdown factor, so the ratio
+    // is a correction of it.
+    log_slowdown_ = before + slowdown_weight * std::log(ratio);
+    log_slowdown_ = std::clamp(log_slowdown_, -std::log(max_slowdown),
+                               std::log(max_slowdown));
+    slowdown_at_ = now;
 }
 
-void endpoint_health::note(time_point now, double failure)
+void endpoint_health::record_outcome(time_point now, double failure)
 {
-    const double before = failures_ * fade(failures_at_, now);
-    failures_ = before + failure_weight * (failure - before);
-    failures_at_ = now;
+    const double before = failure_rate_ * decay_factor(failure_rate_at_, now);
+    failure_rate_ = before + failure_weight * (failure - before);
+    failure_rate_at_ = now;
 }
 
 void endpoint_health::succeeded(time_point now)
 {
-    unreachable_in_a_row_ = 0;
-    note(now, 0);
+    consecutive_unreachable_ = 0;
+    record_outcome(now, 0);
 }
 
 void endpoint_health::failed(time_point now)
 {
-    note(now, 1);
+    record_outcome(now, 1);
 }
 
 void endpoint_health::unreachable(time_point now)
 {
-    note(now, 1);
-    const unsigned doublings = std::min(unreachable_in_a_row_, most_doublings);
-    ++unreachable_in_a_row_;
-    aside_until_ =
-        now + std::min(first_pause * (1 << doublings), longest_pause);
+    record_outcome(now, 1);
+    const unsigned doublings =
+        std::min(consecutive_unreachable_, max_doublings);
+    ++consecutive_unreachable_;
+    ejected_until_ =
+        now + std::min(initial_ejection * (1 << doublings), max_ejection);
 }
 
 double endpoint_health::slowness(time_point now) const
 {
-    return std::exp(log_slowness_ * fade(slowness_at_, now));
+    return std::exp(log_slowdown_ * decay_factor(slowdown_at_, now));
 }
 
 double endpoint_health::failure_rate(time_point now) const
 {
-    return failures_ * fade(failures_at_, now);
+    return failure_rate_ * decay_factor(failure_rate_at_, now);
 }
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/lib/direct/peers.cpp
+++ b/packages/core/lib/direct/peers.cpp
@@ -1,5 +1,5 @@
-// Liveness by the numbers of periodic reports, which spread from instance to
-// instance together with the addresses.
+// Failure detection by the numbers of periodic reports. Report numbers and
+// addresses spread from instance to instance by gossip.
 #include "sycamorelock/core/direct/peers.hpp"
 
 #include <algorithm>
@@ -44,14 +44,14 @@
     from.number = std::max(from.number, report.number);
     from.domain = report.domain;
     from.leaving = report.leaving;
-    from.heard_at = now;
+    from.last_report_at = now;
     from.live = true;
     for (const peer_sight& seen : report.peers)
     {
         if (seen.address == self_)
             acknowledge(now, from, seen);
         else if (seen.address != report.sender)
-            learn(now, seen);
+            merge_sighting(now, seen);
     }
     return true;
 }
@@ -70,11 +70,11 @@
     from.acknowledged_at = now;
 }
 
-void peers::learn(time_point now, const peer_sight& seen)
+void peers::merge_sighting(time_point now, const peer_sight& seen)
 {
-    const auto [place, fresh] = peers_.try_emplace(seen.address);
-    peer& known = place->second;
-    if (fresh)
+    const auto [position, inserted] = peers_.try_emplace(seen.address);
+    peer& known = position->second;
+    if (inserted)
         known.known_since = known.acknowledged_at = now;
     if (seen.incarnation < known.incarnation)
         return;
@@ -89,7 +89,7 @@
         known.leaving = false;
     }
     known.domain = seen.domain;
-    known.heard_at = now;
+    known.last_report_at = now;
     known.live = true;
 }
 
@@ -103,7 +103,8 @@
                   [now](const auto& entry)
                   {
                       const peer& known = entry.second;
-                      return now - std::max(known.heard_at, known.known_since) >
+                      return now - std::max(known.last_report_at,
+                                            known.known_since) >
                              forget_after;
                   });
     using entry = decltype(peers_)::value_type;
@@ -114,10 +115,10 @@
         if (is_live(now, each.second))
             live.push_back(&each);
     }
-    std::vector<const entry*> told;
-    std::sample(live.begin(), live.end(), std::back_inserter(told), gossip_size,
-                random_);
-    for (const entry* each : told)
+    std::vector<const entry*> sampled;
+    std::sample(live.begin(), live.end(), std::back_inserter(sampled),
+                gossip_size, random_);
+    for (const entry* each : sampled)
         report.peers.push_back({each->first, each->second.incarnation,
                                 each->second.number, each->second.domain});
 }
@@ -140,30 +141,32 @@
     }
     std::shuffle(result.begin(), result.end(), random_);
     result.resize(std::min(result.size(), gossip_fanout));
-    // Now and then one that is silent or a seed, so that the halves of a fleet
-    // that was cut find each other again.
-    static constexpr std::size_t rounds = 3;
-    std::uniform_int_distribution<std::size_t> draw(0, rounds - 1);
+    // On average once in three rounds, an unreachable peer or a seed is added,
+    // so that the parts of a partitioned fleet find each other again.
+    static constexpr std::size_t rounds_per_extra_target = 3;
+    std::uniform_int_distribution<std::size_t> draw(0, rounds_per_extra_target -
+                                                           1);
     if (draw(random_) > 0)
         return result;
-    std::vector<std::string> silent(seeds_.begin(), seeds_.end());
+    std::vector<std::string> candidates(seeds_.begin(), seeds_.end());
     for (const auto& [address, known] : peers_)
     {
         if (!is_live(now, known))
-            silent.push_back(address);
+            candidates.push_back(address);
     }
-    if (!silent.empty())
-        result.push_back(silent[std::uniform_int_distribution<std::size_t>(
-            0, silent.size() - 1)(random_)]);
+    if (!candidates.empty())
+        result.push_back(candidates[std::uniform_int_distribution<std::size_t>(
+            0, candidates.size() - 1)(random_)]);
     return result;
 }
 
 std::string peers::aggregator(time_point now, domain_id domain) const
 {
-    // One that has just started holds no sums of its members; until they reach
-    // it, all others would take endpoints and accounts for idle. While views
-    // differ after a change, what is summed twice or not at all is replaced by
-    // the next sums.
+    // The longest-running instance is preferred, because a newly started one
+    // has no totals of its members yet. Until their reports reach it, all other
+    // instances would consider endpoints and accounts idle. While instances
+    // disagree about the aggregator after a change, work may be counted twice
+    // or not at all; the next totals correct that.
     const std::string* oldest = nullptr;
     std::uint64_t started = 0;
     if (domain == domain_ && !leaving_)
@@ -198,7 +201,8 @@
 std::vector<std::string> peers::stale_links(time_point now)
 {
     std::vector<std::string> result;
-    // Where news comes by way of others, nobody acknowledges directly.
+    // In a large fleet, most reports arrive through other instances and are not
+    // acknowledged to the sender.
     if (large(now))
         return result;
     for (auto& [address, known] : peers_)
@@ -225,9 +229,9 @@
     result.reserve(peers_.size());
     for (const auto& [address, known] : peers_)
     {
-        const bool was_heard = known.heard_at != time_point();
+        const bool has_reported = known.last_report_at != time_point();
         const bool has_left = known.leaving && !is_live(now, known);
-        if (was_heard && !has_left)
+        if (has_reported && !has_left)
             result.push_back({instance_id::of(address), known.domain});
     }
     return result;
@@ -238,7 +242,7 @@
     std::vector<instance_id> result;
     for (auto& [address, known] : peers_)
     {
-        if (!known.live || now - known.heard_at < silent_after)
+        if (!known.live || now - known.last_report_at < unreachable_after)
             continue;
         known.live = false;
         result.push_back(instance_id::of(address));
