--- a/packages/core/include/sycamorelock/core/direct/store_cover.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_cover.hpp
@@ -1,5 +1,5 @@
-// Whether an instance of a large fleet must read the platform's store itself,
-// or knows enough from its aggregator.
+// Decides whether an instance of a large fleet has to read the platform's state
+// store itself or can rely on the reports of its aggregator.
 #pragma once
 
 #include "sycamorelock/core/direct/exchange.hpp"
@@ -7,32 +7,37 @@
 namespace sycamorelock::core::direct
 {
 
-/// Calls to the store are shared by all instances and each costs. With 72
-/// instances that all wait for changes they were 6,790 in a minute.
+/// Tracks how current the endpoints are that the aggregator of this instance
+/// reports. Members rely on them to limit the load on the store, whose capacity
+/// for calls all instances share: 72 instances that all wait for changes made
+/// 6,790 calls per minute.
 class store_cover
 {
   public:
-    /// Seven reports of an aggregator: after this silence an instance reads by
-    /// itself, long before the shortest time in which a leaving endpoint may
-    /// still be sent requests (2 s).
-    static constexpr duration silence = milliseconds(700);
-    /// Oldest answer of the store that an aggregator may build on. It has one
-    /// every 750 ms at most.
-    static constexpr milliseconds oldest_answer{1100};
-
-    /// Notes what the own aggregator told.
+    /// An instance reads the store itself if its aggregator has sent no report
+    /// for this time, which is seven report periods. That is well below the
+    /// shortest time within which requests may still be sent to a leaving
+    /// endpoint (2 s).
+    static constexpr duration aggregator_timeout = milliseconds(700);
+    /// Maximum age of the store's last answer to the aggregator. An aggregator
+    /// gets an answer at least every 750 ms.
+    static constexpr milliseconds max_answer_age{1100};
+
+    /// Processes the store's part of a report of the own aggregator.
     void heard(time_point now, const store_view& view);
 
-    /// The aggregator's knowledge is fresh enough.
+    /// Whether the aggregator's last report is recent enough, and was based on
+    /// a recent enough answer of the store.
     [[nodiscard]] bool covered(time_point now) const;
 
-    /// Up to when the endpoints that the aggregator told of were right.
+    /// The time as of which the endpoints that the aggregator reported were
+    /// current.
     [[nodiscard]] time_point current_at() const { return current_at_; }
 
   private:
-    time_point heard_at_;
+    time_point last_report_at_;
     time_point current_at_;
-    bool fresh_ = false;
+    bool is_current_ = false;
 };
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
@@ -1,5 +1,6 @@
-// What this instance knows of the platform's store, compared with what others
-// tell: who lacks news that it could not read, and whose news is newer.
+// Compares what this instance has read from the platform's state store with
+// what other instances report: which of them have missed changes, and how
+// current the endpoints known here are.
 #pragma once
 
 #include "sycamorelock/core/direct/exchange.hpp"
@@ -11,32 +12,36 @@
 namespace sycamorelock::core::direct
 {
 
-/// The store may turn some instances away for many seconds while it serves the
-/// others. Without help those went on sending to endpoints that had left: 47
-/// requests in a minute with 77 instances, of which one aggregator and some of
-/// its members were turned away.
+/// Finds the instances that need a copy of the endpoint list. The store may
+/// reject calls of some instances for many seconds while it serves the others.
+/// Without copies, those kept sending requests to endpoints that had left: 47
+/// requests per minute in a fleet of 77 instances in which the store rejected
+/// one aggregator and some of its members.
 class store_knowledge
 {
   public:
-    /// Whoever reads the store has a change within 500 ms and the time of an
-    /// answer; later it does not reach it. Well under the shortest time for
-    /// which a leaving endpoint may still be sent requests (2 s).
-    static constexpr duration help_after = std::chrono::milliseconds(700);
-
-    /// Notes what this instance knows. To be called before each round of the
-    /// exchange.
-    /// \param digest of the endpoints.
+    /// An instance that lacks a change for longer than this is sent a copy. One
+    /// that can read the store has the change within 500 ms plus the duration
+    /// of a call. The delay is well below the shortest time within which
+    /// requests may still be sent to a leaving endpoint (2 s).
+    static constexpr duration help_delay = std::chrono::milliseconds(700);
+
+    /// Records the state known to this instance. To be called before each round
+    /// of the exchange.
+    /// \param revision revision up to which this instance has read the store.
+    /// \param digest digest of the known endpoints.
     void know(time_point now, std::uint64_t revision, std::uint64_t digest);
 
-    /// Whether an instance that told this must be sent all endpoints.
+    /// Whether `peer`, which reported this view of the store, must be sent all
+    /// endpoints. If so, the copy counts as sent for the rate limit.
     bool must_help(time_point now, const std::string& peer,
-                   const store_view& told);
+                   const store_view& reported);
 
-    /// An instance that reads the store itself told its knowledge. If it knows
-    /// the same endpoints, this instance is as up to date as that one.
-    void confirm(time_point now, const store_view& told);
+    /// Processes the view of an instance that reads the store itself. If it has
+    /// the same endpoints, those known here are as current as its own.
+    void confirm(time_point now, const store_view& reported);
 
-    /// Up to when the endpoints known here were right.
+    /// The time as of which the endpoints known here were current.
     /// \param answered_at when the store last answered this instance.
     [[nodiscard]] time_point current_at(time_point answered_at) const
     {
@@ -44,14 +49,16 @@
     }
 
   private:
-    struct state
+    struct revision_entry
     {
+        /// When this instance first had the revision.
         time_point since;
         std::uint64_t revision = 0;
     };
 
-    /// Newest last; the first is the newest that is older than `help_after`.
-    std::deque<state> revisions_;
+    /// Revisions in ascending order. The first one is the newest that has been
+    /// known for at least `help_delay`, if there is one.
+    std::deque<revision_entry> revisions_;
     std::uint64_t digest_ = 0;
     time_point confirmed_at_;
     help_pace pace_;
--- a/packages/core/include/sycamorelock/core/direct/tick_delay.hpp
+++ b/packages/core/include/sycamorelock/core/direct/tick_delay.hpp
@@ -1,4 +1,4 @@
-// How late an event loop is, by the ticks that it should run on time.
+// Measures the delay of an event loop by that of a periodic timer.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -8,26 +8,32 @@
 namespace sycamorelock::core::direct
 {
 
-/// Requests of an overloaded instance wait in sockets, where no decision sees
-/// them. Its ticks wait as long.
+/// Requests to an overloaded instance wait in socket buffers, where the routing
+/// decision cannot account for them. Timer ticks are delayed by as much, so
+/// they show the overload.
 class tick_delay
 {
   public:
-    /// Mean delay from which an instance should get no new callers: a third to
-    /// a half of the tightest objectives of today's deployments.
-    static constexpr duration longest = std::chrono::milliseconds(250);
-    /// Without any tick for this time the thread hangs.
-    static constexpr duration silence = std::chrono::milliseconds(1500);
-
+    /// Mean delay above which an instance should get no new callers. It is a
+    /// third to a half of the tightest latency objectives of current
+    /// deployments.
+    static constexpr duration max_mean_delay = std::chrono::milliseconds(250);
+    /// The thread is considered hung if there was no tick for this time.
+    static constexpr duration hang_timeout = std::chrono::milliseconds(1500);
+
+    /// \param period intended time between ticks.
     explicit tick_delay(duration period) : period_(period) {}
 
-    /// Notes a tick. Returns whether `late` has changed.
+    /// Records a tick. Returns whether the mean delay has crossed
+    /// `max_mean_delay`. To be called by the thread of the event loop.
     bool tick(time_point now);
 
-    /// Any thread. Not before the first tick.
+    /// Whether the mean delay is too long or the thread hangs; false before the
+    /// first tick. May be called by any thread.
     [[nodiscard]] bool late(time_point now) const;
 
-    /// Mean delay of the last ticks.
+    /// Moving average of the delay. To be called by the thread of the event
+    /// loop.
     [[nodiscard]] duration mean() const { return mean_; }
 
   private:
--- a/packages/core/include/sycamorelock/core/direct/unreadable_entries.hpp
+++ b/packages/core/include/sycamorelock/core/direct/unreadable_entries.hpp
@@ -1,5 +1,7 @@
-// Entries of the platform's store that name no endpoint to use: others may
-// write there too. Each is told once, and forgotten when it goes.
+// Entries of the platform's state store that don't describe a usable endpoint,
+// which other writers to the store may have created. Each one is logged once,
+// and again only if its fault changes or it has been removed or corrected
+// meanwhile.
 #pragma once
 
 #include <cstdint>
@@ -10,29 +12,31 @@
 namespace sycamorelock::core::direct
 {
 
-/// An entry and what is wrong with it.
+/// Name of an entry and the reason why it cannot be used.
 struct unreadable_entry
 {
     std::string boot;
     std::string reason;
 };
 
+/// The unreadable entries that are in the store at present.
 class unreadable_entries
 {
   public:
-    /// Entries remembered. More are counted, but not told.
-    static constexpr std::size_t most = 1000;
+    /// Maximum number of entries kept. Further ones are counted but not logged.
+    static constexpr std::size_t max_entries = 1000;
 
-    /// Notes an entry. Returns whether it should be told: it is new, or wrong
-    /// in another way.
+    /// Records an entry. Returns whether it should be logged: it is new, or
+    /// unreadable for another reason than before.
     bool note(const unreadable_entry& seen);
-    /// The entry is gone or can be read.
+    /// Removes an entry that has left the store or has become readable.
     void forget(const std::string& boot) { known_.erase(boot); }
-    /// A complete listing holds these and no others.
+    /// Removes the entries that a complete listing doesn't contain.
     void keep_only(const std::vector<unreadable_entry>& listed);
 
-    /// Entries that cannot be read now, and all that ever came.
+    /// Number of entries kept.
     [[nodiscard]] std::size_t count() const { return known_.size(); }
+    /// Number of new entries and changed reasons recorded so far.
     [[nodiscard]] std::uint64_t seen() const { return seen_; }
 
   private:
--- a/packages/core/lib/direct/drained_domains.cpp
+++ b/packages/core/lib/direct/drained_domains.cpp
@@ -1,26 +1,28 @@
-// Last writer wins, by the generation of the store.
+// Merges drains by last writer wins, ordered by the revision of the store.
 #include "sycamorelock/core/direct/drained_domains.hpp"
 
 namespace sycamorelock::core::direct
 {
 
-bool drained_domains::put(time_point now, const domain_drain& told)
+bool drained_domains::put(time_point now, const domain_drain& drain)
 {
-    const auto found = known_.find(told.domain);
+    const auto found = known_.find(drain.domain);
     const bool is_known = found != known_.end();
-    if (is_known && found->second.revision >= told.revision)
+    if (is_known && found->second.revision >= drain.revision)
         return false;
-    if (!is_known && known_.size() >= most)
+    if (!is_known && known_.size() >= max_domains)
         return false;
-    known_[told.domain] = {told.revision, told.active, now - told.ended_for};
+    known_[drain.domain] = {drain.revision, drain.active,
+                            now - drain.ended_for};
     return true;
 }
 
 std::vector<domain_drain>
-drained_domains::put_all(time_point now, const std::vector<domain_drain>& told)
+drained_domains::put_all(time_point now,
+                         const std::vector<domain_drain>& drains)
 {
     std::vector<domain_drain> newer;
-    for (const domain_drain& each : told)
+    for (const domain_drain& each : drains)
     {
         if (put(now, each))
             newer.push_back(each);
--- a/packages/core/lib/direct/store_cover.cpp
+++ b/packages/core/lib/direct/store_cover.cpp
@@ -1,4 +1,4 @@
-// The last word of the aggregator counts, and only for a moment.
+// Only the last report of the aggregator counts, and only for a short time.
 #include "sycamorelock/core/direct/store_cover.hpp"
 
 namespace sycamorelock::core::direct
@@ -6,15 +6,15 @@
 
 void store_cover::heard(time_point now, const store_view& view)
 {
-    heard_at_ = now;
+    last_report_at_ = now;
     if (view.revision > 0)
         current_at_ = now - view.age;
-    fresh_ = view.revision > 0 && view.age <= oldest_answer;
+    is_current_ = view.revision > 0 && view.age <= max_answer_age;
 }
 
 bool store_cover::covered(time_point now) const
 {
-    return fresh_ && now - heard_at_ <= silence;
+    return is_current_ && now - last_report_at_ <= aggregator_timeout;
 }
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/lib/direct/store_knowledge.cpp
+++ b/packages/core/lib/direct/store_knowledge.cpp
@@ -1,4 +1,5 @@
-// Revisions tell who is behind, digests whether it matters.
+// Revisions show which instance is behind, digests whether its endpoints
+// differ.
 #include "sycamorelock/core/direct/store_knowledge.hpp"
 
 namespace sycamorelock::core::direct
@@ -10,25 +11,26 @@
     digest_ = digest;
     if (revisions_.empty() || revisions_.back().revision < revision)
         revisions_.push_back({now, revision});
-    while (revisions_.size() > 1 && now - revisions_[1].since >= help_after)
+    while (revisions_.size() > 1 && now - revisions_[1].since >= help_delay)
         revisions_.pop_front();
 }
 
 bool store_knowledge::must_help(time_point now, const std::string& peer,
-                                const store_view& told)
+                                const store_view& reported)
 {
-    if (told.digest == digest_ || revisions_.empty())
+    if (reported.digest == digest_ || revisions_.empty())
         return false;
-    const state& settled = revisions_.front();
-    if (now - settled.since < help_after || told.revision >= settled.revision)
+    const revision_entry& expected = revisions_.front();
+    if (now - expected.since < help_delay ||
+        reported.revision >= expected.revision)
         return false;
     return pace_.allow(now, peer);
 }
 
-void store_knowledge::confirm(time_point now, const store_view& told)
+void store_knowledge::confirm(time_point now, const store_view& reported)
 {
-    if (told.revision > 0 && told.digest == digest_)
-        confirmed_at_ = std::max(confirmed_at_, now - told.age);
+    if (reported.revision > 0 && reported.digest == digest_)
+        confirmed_at_ = std::max(confirmed_at_, now - reported.age);
 }
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/lib/direct/store_uptime.cpp
+++ b/packages/core/lib/direct/store_uptime.cpp
@@ -1,4 +1,4 @@
-// The union of the spans in which anyone had answers.
+// The uptime is the union of the time spans in which any instance had answers.
 #include "sycamorelock/core/direct/store_uptime.hpp"
 
 #include <algorithm>
@@ -9,31 +9,31 @@
 bool store_uptime::told(time_point now, const store_view& view)
 {
     const bool has_span = view.revision > 0 && view.up >= view.age;
-    return has_span && extend(now - view.up, now - view.age);
+    return has_span && add_span(now - view.up, now - view.age);
 }
 
-bool store_uptime::extend(time_point from, time_point to)
+bool store_uptime::add_span(time_point from, time_point to)
 {
-    const bool first = last_ == time_point();
-    const bool later = from - last_ >= least_outage;
-    if (first || later)
+    const bool is_first = last_answer_at_ == time_point();
+    const bool after_outage = from - last_answer_at_ >= min_outage;
+    if (is_first || after_outage)
     {
         since_ = from;
-        last_ = to;
-        return !first;
+        last_answer_at_ = to;
+        return !is_first;
     }
-    if (since_ - to >= least_outage)
+    if (since_ - to >= min_outage)
         return false;
     since_ = std::min(since_, from);
-    last_ = std::max(last_, to);
+    last_answer_at_ = std::max(last_answer_at_, to);
     return false;
 }
 
 milliseconds store_uptime::told_at(time_point now) const
 {
-    if (last_ == time_point())
+    if (last_answer_at_ == time_point())
         return milliseconds(0);
-    return std::min(most_told,
+    return std::min(max_reported_uptime,
                     std::chrono::duration_cast<milliseconds>(now - since_));
 }
 
--- a/packages/core/lib/direct/tick_delay.cpp
+++ b/packages/core/lib/direct/tick_delay.cpp
@@ -1,4 +1,4 @@
-// A moving average over some ten ticks.
+// An exponential moving average with a time constant of ten ticks.
 #include "sycamorelock/core/direct/tick_delay.hpp"
 
 #include <algorithm>
@@ -15,14 +15,14 @@
         return false;
     const duration delay = std::max(duration(0), now - before - period_);
     mean_ += (delay - mean_) / ticks_averaged;
-    const bool late = mean_ > longest;
+    const bool late = mean_ > max_mean_delay;
     return late_.exchange(late) != late;
 }
 
 bool tick_delay::late(time_point now) const
 {
     const time_point ticked = ticked_at_;
-    return late_ || (ticked != time_point() && now - ticked > silence);
+    return late_ || (ticked != time_point() && now - ticked > hang_timeout);
 }
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/lib/direct/unreadable_entries.cpp
+++ b/packages/core/lib/direct/unreadable_entries.cpp
@@ -1,4 +1,4 @@
-// A bounded map from entries to what is wrong with them.
+// A bounded map from the names of entries to the reasons of their faults.
 #include "sycamorelock/core/direct/unreadable_entries.hpp"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
     if (known != known_.end() && known->second == seen.reason)
         return false;
     ++seen_;
-    if (known == known_.end() && known_.size() >= most)
+    if (known == known_.end() && known_.size() >= max_entries)
         return false;
     known_[seen.boot] = seen.reason;
     return true;
