--- a/packages/core/unittests/direct_drains_test.cpp
+++ b/packages/core/unittests/direct_drains_test.cpp
@@ -1,5 +1,5 @@
-// Failure domains that operators drain: whose statement holds, and where
-// requests go.
+// Tests of drained failure domains: how drains reported by different instances
+// are merged, and their effect on routing.
 #include "direct_fixture.hpp"
 
 #include "sycamorelock/core/direct/drained_domains.hpp"
@@ -16,12 +16,12 @@
 const domain_id hall = domain_id::of("hall");
 const domain_id yard = domain_id::of("yard");
 
-domain_drain told(domain_id domain, std::uint64_t revision, bool active)
+domain_drain drain_of(domain_id domain, std::uint64_t revision, bool active)
 {
     return {domain, revision, active, duration(0)};
 }
 
-/// Two engines, one in each domain.
+/// Two engines, one in each of two domains.
 struct fixture : two_engines
 {
     explicit fixture(double token_bytes = 0) : two_engines(10000, token_bytes)
@@ -34,52 +34,54 @@
 
     static endpoint_record record(const std::string& boot, domain_id domain)
     {
-        endpoint_record made = engine_record(boot);
-        made.domain = domain;
-        return made;
+        endpoint_record result = engine_record(boot);
+        result.domain = domain;
+        return result;
     }
 
     routing_decision decide(const std::set<endpoint_id>& tried = {})
     {
-        request_profile asked = ask_for({{1, 1000}, {2, 100}});
-        return decides.decide(start, asked, drafts, tried, !tried.empty());
+        request_profile request = ask_for({{1, 1000}, {2, 100}});
+        return decides.decide(start, request, drafts, tried, !tried.empty());
     }
 };
 
 } // namespace
 
-Test(direct_drains, the_newest_statement_holds_whoever_tells_it)
+Test(direct_drains, the_state_of_the_highest_revision_holds)
 {
     drained_domains drains;
-    cr_expect(drains.put(start, told(hall, 5, true)));
+    cr_expect(drains.put(start, drain_of(hall, 5, true)));
     cr_expect(drains.is_drained(hall));
-    cr_expect_not(drains.put(start, told(hall, 5, true)));
-    cr_expect_not(drains.put(start, told(hall, 4, false)));
+    cr_expect_not(drains.put(start, drain_of(hall, 5, true)));
+    cr_expect_not(drains.put(start, drain_of(hall, 4, false)));
     cr_expect(drains.is_drained(hall));
-    cr_expect(drains.put(start, told(hall, 7, false)));
-    cr_expect_not(drains.put(start, told(hall, 6, true)), "an older picture");
+    cr_expect(drains.put(start, drain_of(hall, 7, false)));
+    cr_expect_not(drains.put(start, drain_of(hall, 6, true)),
+                  "an older view of the store");
     cr_expect_not(drains.is_drained(hall));
     cr_expect_not(drains.is_drained(yard));
 }
 
-Test(direct_drains, a_listing_ends_only_what_is_older)
+Test(direct_drains, a_listing_ends_only_older_drains)
 {
     drained_domains drains;
-    drains.put(start, told(hall, 5, true));
-    drains.put(start, told(yard, 9, true));
+    drains.put(start, drain_of(hall, 5, true));
+    drains.put(start, drain_of(yard, 9, true));
     const auto changed = drains.replace(start, 8, {});
     cr_assert_eq(changed.size(), 1U);
-    cr_expect(changed[0] == told(hall, 8, false));
+    cr_expect(changed[0] == drain_of(hall, 8, false));
     cr_expect(drains.active() == std::set<domain_id>{yard});
-    // The drain that was removed is not brought back by who knows less.
-    cr_expect_not(drains.put(start, told(hall, 5, true)));
-    cr_expect_eq(drains.replace(start, 12, {told(yard, 9, true)}).size(), 0U);
+    // A report of an instance with an older view doesn't restore the drain.
+    cr_expect_not(drains.put(start, drain_of(hall, 5, true)));
+    cr_expect_eq(drains.replace(start, 12, {drain_of(yard, 9, true)}).size(),
+                 0U);
 }
 
-Test(direct_drains, others_are_told_how_long_ago_a_drain_ended)
+Test(direct_drains, reports_contain_the_time_since_a_drain_ended)
 {
     drained_domains drains;
-    drains.put(start, told(hall, 5, true));
+    drains.put(start, drain_of(hall, 5, true));
     drains.put(start, {yard, 6, false, seconds(1)});
     const auto all = drains.told_at(start + seconds(2));
     cr_assert_eq(all.size(), 2U);
@@ -88,17 +90,18 @@
                   (each.domain == yard ? seconds(3) : seconds(0)));
 }
 
-Test(direct_drains, names_without_end_take_no_memory_without_end)
+Test(direct_drains, the_number_of_domains_is_bounded)
 {
     drained_domains drains;
-    for (std::uint32_t i = 0; i < 2 * drained_domains::most; ++i)
-        drains.put(start, told(domain_id(i), 1, true));
-    cr_expect_eq(drains.active().size(), drained_domains::most);
-    cr_expect(drains.put(start, told(domain_id(3), 2, false)));
+    for (std::uint32_t i = 0; i < 2 * drained_domains::max_domains; ++i)
+        drains.put(start, drain_of(domain_id(i), 1, true));
+    cr_expect_eq(drains.active().size(), drained_domains::max_domains);
+    cr_expect(drains.put(start, drain_of(domain_id(3), 2, false)));
 }
 
-// First sends, repeats, requests that wait for a connection, and fetches.
-Test(direct_drains, nothing_goes_to_a_drained_domain_on_any_way)
+// Covers first attempts, retries, requests that wait for a connection, and
+// fetches of the KV cache.
+Test(direct_drains, a_drained_domain_gets_no_requests_and_no_fetches)
 {
     fixture fix(100);
     const auto first = std::get<placement_decision>(fix.decide());
@@ -118,9 +121,9 @@
               first.endpoint.boot);
 }
 
-// An engine that registers in a drained domain is drained from the start, and
-// one whose entry lapses and returns still is.
-Test(direct_drains, endpoints_that_come_later_are_drained_too)
+// An engine that registers in a drained domain gets no requests from the start,
+// and one whose entry lapses and returns still gets none.
+Test(direct_drains, endpoints_that_register_later_are_drained_too)
 {
     fixture fix;
     fix.decides.set_drained(start, {hall, yard}, {});
@@ -132,13 +135,14 @@
     cr_expect_geq(refused.retry_after.count(), 1000);
 }
 
-Test(direct_drains, with_all_domains_drained_callers_are_refused_at_once)
+Test(direct_drains, callers_are_refused_at_once_when_all_domains_are_drained)
 {
     fixture fix;
     fix.decides.set_drained(start, {hall, yard}, {});
     cr_expect(std::get<refusal_decision>(fix.decide()).reason ==
               refusal::drained);
-    // Nobody leaves and nobody rests: the drain is the reason.
+    // The drain is the reason of the refusal even if an endpoint has requested
+    // back-off.
     fix.decides.note_rest(start, fixture::record("one", hall),
                           milliseconds(3000));
     cr_expect(std::get<refusal_decision>(fix.decide()).reason ==
--- a/packages/core/unittests/direct_notices_test.cpp
+++ b/packages/core/unittests/direct_notices_test.cpp
@@ -1,4 +1,5 @@
-// What endpoints say of themselves in answers, and where requests go then.
+// Tests of notices in endpoints' responses (leaving and back-off) and of their
+// effect on routing.
 #include "direct_fixture.hpp"
 
 #include <criterion/criterion.h>
@@ -19,22 +20,23 @@
 
     placement_decision place(time_point now = start)
     {
-        request_profile asked = ask_for({{1, 1000}, {2, 100}}, now);
+        request_profile request = ask_for({{1, 1000}, {2, 100}}, now);
         return std::get<placement_decision>(
-            decides.decide(now, asked, drafts, {}, false));
+            decides.decide(now, request, drafts, {}, false));
     }
 
-    /// Endpoints that a request goes to when it fails at one after the other.
-    std::set<std::string> used(time_point now = start)
+    /// Names of the endpoints that a request is routed to if it fails at each
+    /// of them in turn.
+    std::set<std::string> endpoints_tried_in_turn(time_point now = start)
     {
-        request_profile asked = ask_for({{1, 1000}, {2, 100}}, now);
+        request_profile request = ask_for({{1, 1000}, {2, 100}}, now);
         std::set<std::string> names;
         std::set<endpoint_id> tried;
         for (;;)
         {
-            const auto made =
-                decides.decide(now, asked, drafts, tried, !tried.empty());
-            const auto* placed = std::get_if<placement_decision>(&made);
+            const auto decision =
+                decides.decide(now, request, drafts, tried, !tried.empty());
+            const auto* placed = std::get_if<placement_decision>(&decision);
             if (placed == nullptr)
                 return names;
             names.insert(placed->endpoint.boot);
@@ -46,39 +48,39 @@
 endpoint_record record(const std::string& boot, const std::string& address,
                        std::uint64_t started_ms = 0)
 {
-    endpoint_record made = engine_record(boot);
-    made.address = address;
-    made.started_ms = started_ms;
-    return made;
+    endpoint_record result = engine_record(boot);
+    result.address = address;
+    result.started_ms = started_ms;
+    return result;
 }
 
 } // namespace
 
-// Guards against requests to an endpoint that has said that it leaves.
-Test(direct_notices, an_endpoint_that_says_it_leaves_is_not_chosen)
+// Guards against requests to an endpoint that has announced its shutdown.
+Test(direct_notices, an_endpoint_that_announced_its_shutdown_gets_no_requests)
 {
     fixture fix;
-    cr_assert_eq(fix.used().size(), 2U);
+    cr_assert_eq(fix.endpoints_tried_in_turn().size(), 2U);
     const endpoint_record one = record("one", "one:1");
     cr_expect(fix.decides.note_leaving(start, one));
-    cr_expect_not(fix.decides.note_leaving(start, one), "told before");
-    cr_expect(fix.used() == std::set<std::string>{"two"});
+    cr_expect_not(fix.decides.note_leaving(start, one), "announced before");
+    cr_expect(fix.endpoints_tried_in_turn() == std::set<std::string>{"two"});
 }
 
-// An older entry of the store, or the same one again after it lapsed, must not
-// take back what the endpoint has said.
-Test(direct_notices, no_entry_of_the_same_start_takes_a_leaving_back)
+// An older entry of the store, or the same one after it lapsed and returned,
+// must not override the endpoint's announcement.
+Test(direct_notices, no_entry_of_the_same_start_revokes_an_announced_shutdown)
 {
     fixture fix;
     fix.decides.note_leaving(start, record("one", "one:1"));
     fix.list({"one", "two"});
-    cr_expect(fix.used() == std::set<std::string>{"two"});
+    cr_expect(fix.endpoints_tried_in_turn() == std::set<std::string>{"two"});
     fix.list({"two"});
     fix.list({"one", "two"});
-    cr_expect(fix.used() == std::set<std::string>{"two"});
+    cr_expect(fix.endpoints_tried_in_turn() == std::set<std::string>{"two"});
 }
 
-Test(direct_notices, another_start_or_address_begins_without_notices)
+Test(direct_notices, notices_do_not_apply_to_another_start_or_address)
 {
     endpoint_notices notices;
     const endpoint_record before = record("one", "a:1", 1000);
@@ -91,7 +93,7 @@
     cr_expect_not(notices.is_leaving(before));
 }
 
-Test(direct_notices, endpoints_that_ended_long_ago_are_forgotten)
+Test(direct_notices, notices_of_endpoints_unlisted_for_long_are_removed)
 {
     endpoint_notices notices;
     const endpoint_record one = record("one", "a:1");
@@ -103,9 +105,10 @@
     cr_expect_not(notices.is_leaving(one));
 }
 
-// Guards against a request that was chosen before the news and is written to a
-// connection after it.
-Test(direct_notices, a_request_that_waits_for_its_connection_is_withheld)
+// Guards against requests that were routed before the endpoint's announcement
+// arrived and would be written to a connection afterwards.
+Test(direct_notices,
+     a_request_waiting_for_a_connection_to_a_leaving_endpoint_is_withheld)
 {
     fixture fix;
     const placement_decision placed = fix.place();
@@ -124,7 +127,7 @@
     cr_expect(listed.decides.withheld(start, drained) == withheld_reason::gone);
 }
 
-Test(direct_notices, nothing_is_fetched_from_an_engine_that_leaves)
+Test(direct_notices, no_kv_cache_is_fetched_from_a_leaving_engine)
 {
     fixture fix(100);
     const endpoint_record one = record("one", "one:1");
@@ -136,21 +139,21 @@
     cr_expect_not(fix.decides.may_fetch(start, plan));
 }
 
-Test(direct_notices, when_all_endpoints_leave_callers_are_refused_at_once)
+Test(direct_notices, callers_are_refused_at_once_when_all_endpoints_are_leaving)
 {
     fixture fix;
     for (const char* name : {"one", "two"})
         fix.decides.note_leaving(start, record(name, std::string(name) + ":1"));
-    request_profile asked = fix.ask_for({{1, 1000}});
+    request_profile request = fix.ask_for({{1, 1000}});
     const auto refused = std::get<refusal_decision>(
-        fix.decides.decide(start, asked, drafts, {}, false));
+        fix.decides.decide(start, request, drafts, {}, false));
     cr_expect(refused.reason == refusal::no_endpoint);
     cr_expect_gt(refused.retry_after.count(), 0);
 }
 
-// Guards against requests to an endpoint that has asked for rest: first ones,
-// repeats, and those that wait for a connection.
-Test(direct_notices, an_endpoint_that_rests_is_not_chosen_until_its_rest_ends)
+// Guards against requests to an endpoint that has requested back-off: first
+// attempts, retries, and requests that wait for a connection.
+Test(direct_notices, an_endpoint_gets_no_requests_until_its_back_off_ends)
 {
     fixture fix;
     const endpoint_record one = record("one", "one:1");
@@ -161,26 +164,30 @@
               withheld_reason::resting);
     cr_expect_not(fix.decides.withheld(at(3000), waiting).has_value());
     for (const int ms : {0, 600, 2999})
-        cr_expect_eq(fix.used(at(ms)).count(waiting.endpoint.boot), 0U);
-    // Nor after its entry has lapsed and returned, or another one came.
+        cr_expect_eq(
+            fix.endpoints_tried_in_turn(at(ms)).count(waiting.endpoint.boot),
+            0U);
+    // The back-off still holds after its entry has lapsed and returned, or a
+    // new entry of the same start was written.
     fix.list({waiting.endpoint.boot == "one" ? "two" : "one"});
     fix.list({"one", "two"});
-    cr_expect_eq(fix.used(at(2999)).count(waiting.endpoint.boot), 0U);
-    cr_expect_eq(fix.used(at(3000)).size(), 2U);
+    cr_expect_eq(
+        fix.endpoints_tried_in_turn(at(2999)).count(waiting.endpoint.boot), 0U);
+    cr_expect_eq(fix.endpoints_tried_in_turn(at(3000)).size(), 2U);
 }
 
-Test(direct_notices, a_new_start_does_not_rest)
+Test(direct_notices, a_restarted_endpoint_has_no_back_off)
 {
     fixture fix;
     fix.list({"one", "two"}, 1000);
     fix.decides.note_rest(start, record("one", "one:1", 1000),
                           milliseconds(3000));
-    cr_expect_eq(fix.used().size(), 1U);
+    cr_expect_eq(fix.endpoints_tried_in_turn().size(), 1U);
     fix.list({"one", "two"}, 2000);
-    cr_expect_eq(fix.used().size(), 2U);
+    cr_expect_eq(fix.endpoints_tried_in_turn().size(), 2U);
 }
 
-Test(direct_notices, a_rest_is_bounded_and_not_shortened)
+Test(direct_notices, a_back_off_is_bounded_and_not_shortened)
 {
     endpoint_notices notices;
     const endpoint_record one = record("one", "a:1");
@@ -189,13 +196,14 @@
     cr_expect(notices.rests_until(one) == start + milliseconds(3000));
     notices.note_rest(start, one, std::chrono::hours(5));
     cr_expect(notices.rests_until(one) ==
-              start + endpoint_notices::longest_rest);
+              start + endpoint_notices::max_backoff);
     cr_expect(notices.rests_until(record("one", "b:1")) == time_point());
     cr_expect_not(notices.is_leaving(one));
 }
 
-// Callers that come back sooner find the same.
-Test(direct_notices, when_all_endpoints_rest_callers_come_back_after_the_first)
+// Callers are told to retry when the earliest back-off ends: an earlier retry
+// would be refused again.
+Test(direct_notices, callers_retry_after_the_earliest_back_off)
 {
     fixture fix;
     const endpoint_record one = record("one", "one:1");
@@ -205,21 +213,21 @@
     fix.decides.note_rest(start, two, milliseconds(2000));
     for (int i = 0; i < 20; ++i)
     {
-        request_profile asked = fix.ask_for({{1, 1000}});
+        request_profile request = fix.ask_for({{1, 1000}});
         const auto refused = std::get<refusal_decision>(
-            fix.decides.decide(start, asked, drafts, {}, false));
+            fix.decides.decide(start, request, drafts, {}, false));
         cr_expect(refused.reason == refusal::resting);
         cr_expect_geq(refused.retry_after.count(), 2000);
         cr_expect_leq(refused.retry_after.count(), 2500);
     }
-    // One that leaves does not count: it takes nothing at any time.
+    // A leaving endpoint is not considered, since it accepts no request later.
     fix.decides.note_leaving(start, two);
     const auto pause = fix.decides.rest_pause(start, drafts);
     cr_assert(pause.has_value());
     cr_expect_geq(pause->count(), 3000);
 }
 
-Test(direct_notices, nothing_is_fetched_from_an_engine_that_rests)
+Test(direct_notices, no_kv_cache_is_fetched_from_an_engine_in_back_off)
 {
     fixture fix(100);
     const endpoint_record one = record("one", "one:1");
@@ -229,33 +237,36 @@
     cr_expect(fix.decides.may_fetch(start + milliseconds(3000), plan));
 }
 
-// Guards against requests in the rest of a rest longer than a minute: an honest
-// endpoint that asks for 90 s gets at most two before it ends.
-Test(direct_notices, a_rest_beyond_a_minute_lets_two_requests_through)
+// Guards against needless requests in the part of a back-off beyond one minute:
+// an endpoint that requests 90 s and keeps to it gets at most two probes before
+// the back-off ends.
+Test(direct_notices, a_back_off_beyond_a_minute_allows_two_probes)
 {
     fixture fix;
     fix.decides.note_rest(start, record("one", "one:1"), seconds(90));
     int sent = 0;
     for (int at = 1; at < 90; ++at)
-        sent += fix.used(start + seconds(at)).contains("one") ? 1 : 0;
-    cr_expect_leq(sent, 2, "%d requests within the rest", sent);
-    cr_expect(fix.used(start + seconds(91)).contains("one"));
+        sent += fix.endpoints_tried_in_turn(start + seconds(at)).contains("one")
+                    ? 1
+                    : 0;
+    cr_expect_leq(sent, 2, "%d requests within the back-off", sent);
+    cr_expect(fix.endpoints_tried_in_turn(start + seconds(91)).contains("one"));
 }
 
-// A trial that is served ends the rest, and one that waits for its connection
-// is sent although the endpoint rests for all others.
-Test(direct_notices, an_endpoint_that_serves_a_trial_rests_no_more)
+// A probe that the endpoint serves ends its back-off. A probe that waits for a
+// connection is still sent, although the back-off holds for all other requests.
+Test(direct_notices, a_served_probe_ends_the_back_off)
 {
     fixture fix;
     fix.list({"one"});
     fix.decides.note_rest(start, record("one", "one:1"), seconds(90));
     const time_point now = start + seconds(61);
-    placement_decision trial = fix.place(now);
-    cr_expect_not(fix.decides.withheld(now, trial).has_value());
-    cr_expect(fix.used(now).empty());
-    request_profile asked = fix.ask_for({{1, 1000}, {2, 100}}, now);
-    fix.decides.sent(now, asked, trial);
-    fix.decides.finished(now, trial, attempt_outcome::succeeded);
-    cr_expect_eq(fix.used(now).size(), 1U);
-    cr_expect_eq(fix.used(now).size(), 1U);
+    placement_decision probe = fix.place(now);
+    cr_expect_not(fix.decides.withheld(now, probe).has_value());
+    cr_expect(fix.endpoints_tried_in_turn(now).empty());
+    request_profile request = fix.ask_for({{1, 1000}, {2, 100}}, now);
+    fix.decides.sent(now, request, probe);
+    fix.decides.finished(now, probe, attempt_outcome::succeeded);
+    cr_expect_eq(fix.endpoints_tried_in_turn(now).size(), 1U);
+    cr_expect_eq(fix.endpoints_tried_in_turn(now).size(), 1U);
 }
--- a/packages/core/unittests/direct_store_test.cpp
+++ b/packages/core/unittests/direct_store_test.cpp
@@ -1,5 +1,6 @@
-// What is known from the platform's store: endpoints that come, drain and go,
-// entries that cannot be read, and whose news is newer.
+// Tests of what an instance knows from the platform's state store: endpoints
+// that register, drain and leave, unreadable entries, and how current the
+// knowledge of different instances is.
 #include "sycamorelock/core/direct/endpoint_registry.hpp"
 #include "sycamorelock/core/direct/store_cover.hpp"
 #include "sycamorelock/core/direct/store_knowledge.hpp"
@@ -19,16 +20,16 @@
 
 endpoint_record record(const std::string& boot, bool draining = false)
 {
-    endpoint_record made;
-    made.boot = boot;
-    made.address = "127.0.0.1:1";
-    made.draining = draining;
-    return made;
+    endpoint_record result;
+    result.boot = boot;
+    result.address = "127.0.0.1:1";
+    result.draining = draining;
+    return result;
 }
 
 } // namespace
 
-Test(direct_registry, an_entry_that_goes_is_dropped_at_once)
+Test(direct_registry, a_removed_entry_is_dropped_at_once)
 {
     endpoint_registry registry;
     registry.put(record("a"));
@@ -37,9 +38,10 @@
     cr_expect(registry.all().empty());
 }
 
-// Entries lapse while the store is away; dropping them at its return would
-// leave nothing to send to for two seconds.
-Test(direct_registry, after_an_outage_entries_have_time_to_come_back)
+// Guards against dropping the entries that lapsed during an outage of the
+// store, which would leave no endpoint to send requests to for two seconds.
+Test(direct_registry,
+     entries_missing_after_an_outage_are_kept_for_the_grace_period)
 {
     endpoint_registry registry;
     registry.put(record("a"));
@@ -56,9 +58,10 @@
     cr_expect_eq(registry.all().size(), 1U);
 }
 
-// An instance that alone had lost the store kept an endpoint that had left for
-// 2.5 s more, and sent to it after the bound.
-Test(direct_registry, after_an_outage_few_missing_entries_have_left)
+// Guards against requests to an endpoint that has left. An instance that alone
+// had lost the store kept the endpoint's entry for 2.5 s more and sent requests
+// beyond the allowed time.
+Test(direct_registry, a_few_entries_missing_after_an_outage_are_dropped_at_once)
 {
     endpoint_registry registry;
     for (int i = 0; i < 8; ++i)
@@ -68,7 +71,7 @@
     cr_expect_not(registry.expire(start).empty());
     registry.remove("e1");
     cr_expect_not(registry.expire(start).empty());
-    // Entries that lapse one after the other are not few.
+    // Entries that lapse one after another add up: three of eight are not few.
     registry.remove("e2");
     cr_expect(registry.expire(start + seconds(2)).empty());
     cr_expect_eq(registry.all().size(), 6U);
@@ -76,7 +79,7 @@
     cr_expect_eq(registry.all().size(), 5U);
 }
 
-Test(direct_registry, after_an_outage_many_missing_entries_have_lapsed)
+Test(direct_registry, many_entries_missing_after_an_outage_are_kept)
 {
     endpoint_registry registry;
     std::vector<endpoint_record> left;
@@ -104,7 +107,7 @@
     cr_expect(registry.all().at("a").draining);
 }
 
-Test(direct_registry, the_endpoints_of_an_aggregator_are_taken_over)
+Test(direct_registry, a_member_adopts_the_endpoints_of_its_aggregator)
 {
     endpoint_registry reader;
     reader.put(record("a"));
@@ -113,15 +116,16 @@
     member.put(record("b"));
     member.put(record("c"));
     cr_expect_neq(reader.digest(), member.digest());
-    const auto news = member.adopt(1, {record("a"), record("b")});
-    cr_assert_eq(news.changed.size(), 1U);
-    cr_expect_str_eq(news.changed[0].boot.c_str(), "a");
-    cr_assert_eq(news.gone.size(), 1U);
-    cr_expect_str_eq(news.gone[0].c_str(), "c");
+    const auto changes = member.adopt(1, {record("a"), record("b")});
+    cr_assert_eq(changes.changed.size(), 1U);
+    cr_expect_str_eq(changes.changed[0].boot.c_str(), "a");
+    cr_assert_eq(changes.gone.size(), 1U);
+    cr_expect_str_eq(changes.gone[0].c_str(), "c");
     cr_expect_eq(reader.digest(), member.digest());
 }
 
-// A member that read the store itself for a moment may know more.
+// A member that has read the store itself for a short time may have newer
+// entries than its aggregator.
 Test(direct_registry, an_older_entry_does_not_undo_a_newer_one)
 {
     endpoint_registry member;
@@ -135,9 +139,9 @@
     cr_expect(member.all().at("a").draining);
 }
 
-// Guards against an endpoint that comes back as usable with a listing from
-// before it left: an entry that is gone has no revision to compare with.
-Test(direct_registry, an_older_listing_brings_back_no_endpoint_that_left)
+// Guards against restoring an endpoint from a listing that was made before it
+// left: a removed entry has no revision to compare with.
+Test(direct_registry, an_older_listing_does_not_restore_a_removed_endpoint)
 {
     endpoint_registry member;
     member.adopt(10, {record("a"), record("b")});
@@ -148,7 +152,8 @@
                  1U);
 }
 
-Test(direct_cover, a_silent_aggregator_or_an_old_answer_covers_nothing)
+Test(direct_cover,
+     an_unreachable_aggregator_or_a_stale_answer_gives_no_coverage)
 {
     store_cover cover;
     cr_expect_not(cover.covered(start));
@@ -161,17 +166,18 @@
     view.age = milliseconds(1200);
     cover.heard(start + milliseconds(900), view);
     cr_expect_not(cover.covered(start + milliseconds(900)));
-    // An aggregator that has not read anything yet.
+    // An aggregator that has not read the store yet.
     cover.heard(start + milliseconds(1000), {});
     cr_expect_not(cover.covered(start + milliseconds(1000)));
 }
 
-Test(direct_knowledge, who_lacks_old_news_is_helped_and_others_are_not)
+Test(direct_knowledge,
+     only_instances_that_missed_an_earlier_change_are_sent_endpoints)
 {
     store_knowledge here;
     here.know(start, 10, 1);
     here.know(start + seconds(1), 20, 2);
-    const auto told = [](std::uint64_t revision, std::uint64_t digest)
+    const auto reported = [](std::uint64_t revision, std::uint64_t digest)
     {
         store_view view;
         view.revision = revision;
@@ -179,37 +185,39 @@
         return view;
     };
     const auto later = [](int ms) { return start + milliseconds(1000 + ms); };
-    // Time to read the news itself; what is older it should have had.
+    // An instance gets time to read the change itself, but should have read
+    // earlier ones already.
     here.know(later(100), 20, 2);
-    cr_expect_not(here.must_help(later(100), "slow", told(10, 1)));
-    cr_expect(here.must_help(later(100), "turned away", told(9, 0)));
+    cr_expect_not(here.must_help(later(100), "slow", reported(10, 1)));
+    cr_expect(here.must_help(later(100), "turned away", reported(9, 0)));
     here.know(later(800), 20, 2);
-    cr_expect(here.must_help(later(800), "slow", told(10, 1)));
-    cr_expect_not(here.must_help(later(900), "slow", told(10, 1)));
-    cr_expect(here.must_help(later(1200), "slow", told(10, 1)));
-    // The same endpoints, or the same revision: nothing to tell.
-    cr_expect_not(here.must_help(later(900), "alike", told(10, 2)));
-    cr_expect_not(here.must_help(later(900), "in grace", told(20, 3)));
+    cr_expect(here.must_help(later(800), "slow", reported(10, 1)));
+    cr_expect_not(here.must_help(later(900), "slow", reported(10, 1)));
+    cr_expect(here.must_help(later(1200), "slow", reported(10, 1)));
+    // No copy is sent for the same endpoints or the same revision.
+    cr_expect_not(here.must_help(later(900), "alike", reported(10, 2)));
+    cr_expect_not(here.must_help(later(900), "in grace", reported(20, 3)));
 }
 
-Test(direct_knowledge, an_equal_listing_elsewhere_confirms_the_own_one)
+Test(direct_knowledge,
+     an_equal_listing_of_another_instance_confirms_the_own_one)
 {
     store_knowledge here;
     here.know(start, 10, 1);
-    store_view told;
-    told.revision = 12;
-    told.digest = 2;
-    told.age = milliseconds(100);
+    store_view reported;
+    reported.revision = 12;
+    reported.digest = 2;
+    reported.age = milliseconds(100);
     const time_point at = start + seconds(5);
-    here.confirm(at, told);
+    here.confirm(at, reported);
     cr_expect(here.current_at(start) == start);
-    told.digest = 1;
-    here.confirm(at, told);
+    reported.digest = 1;
+    here.confirm(at, reported);
     cr_expect(here.current_at(start) == at - milliseconds(100));
     cr_expect(here.current_at(at) == at);
 }
 
-Test(direct_registry, a_new_start_under_the_same_name_is_another_endpoint)
+Test(direct_registry, a_restart_under_the_same_name_is_another_endpoint)
 {
     endpoint_record record;
     record.boot = "e";
@@ -231,7 +239,7 @@
 }
 
 Test(direct_registry,
-     an_entry_that_names_no_endpoint_is_dropped_within_the_grace)
+     an_entry_that_became_unreadable_is_dropped_within_the_grace_period)
 {
     endpoint_record record;
     record.boot = "e";
@@ -243,7 +251,7 @@
     cr_expect(known.all().empty());
 }
 
-Test(direct_unreadable, an_entry_is_told_once_until_it_goes)
+Test(direct_unreadable, an_entry_is_logged_once_until_it_is_removed)
 {
     unreadable_entries known;
     cr_expect(known.note({"e", "no address"}));
@@ -256,14 +264,15 @@
     known.note({"f", "no slots"});
     known.keep_only({{"f", "no slots"}});
     cr_expect_eq(known.count(), 1U);
-    for (std::size_t i = 0; i < 2 * unreadable_entries::most; ++i)
+    for (std::size_t i = 0; i < 2 * unreadable_entries::max_entries; ++i)
         known.note({std::to_string(i), "bad"});
-    cr_expect_eq(known.count(), unreadable_entries::most);
+    cr_expect_eq(known.count(), unreadable_entries::max_entries);
 }
 
-// An instance that alone had lost the store took its return for the end of an
-// outage, and kept endpoints that had left.
-Test(direct_registry, the_grace_ends_when_others_had_the_store_all_the_while)
+// Guards against keeping endpoints that have left. An instance that alone had
+// lost the store treated its reconnection as the end of an outage.
+Test(direct_registry,
+     the_grace_period_ends_if_others_could_reach_the_store_throughout)
 {
     endpoint_registry registry;
     for (const char* name : {"a", "b", "c"})
@@ -282,22 +291,23 @@
 namespace
 {
 
-store_view answered(milliseconds age, milliseconds up)
+store_view view_with(milliseconds age, milliseconds up)
 {
-    store_view told;
-    told.revision = 7;
-    told.age = age;
-    told.up = up;
-    return told;
+    store_view reported;
+    reported.revision = 7;
+    reported.age = age;
+    reported.up = up;
+    return reported;
 }
 
 } // namespace
 
-Test(direct_uptime, an_outage_is_a_time_without_answers_to_anyone)
+Test(direct_uptime, an_outage_is_a_time_without_answers_to_any_instance)
 {
     store_uptime here;
-    cr_expect_not(here.answered(start), "nothing can have lapsed here");
-    // The longest wait of a reader.
+    cr_expect_not(here.answered(start),
+                  "no entry can have lapsed before the first answer");
+    // The longest time between two answers to a reader.
     cr_expect_not(here.answered(start + milliseconds(2500)));
     cr_expect(here.since() == start);
     const time_point back = start + seconds(10);
@@ -308,38 +318,38 @@
 
 Test(direct_uptime, answers_to_others_show_that_there_was_no_outage)
 {
-    store_uptime while_away;
-    while_away.answered(start);
+    store_uptime informed_during;
+    informed_during.answered(start);
     for (int s = 1; s <= 8; ++s)
-        cr_expect_not(while_away.told(
-            start + seconds(s), answered(milliseconds(500), seconds(20))));
-    cr_expect_not(while_away.answered(start + seconds(9)));
+        cr_expect_not(informed_during.told(
+            start + seconds(s), view_with(milliseconds(500), seconds(20))));
+    cr_expect_not(informed_during.answered(start + seconds(9)));
 
-    store_uptime afterwards;
-    afterwards.answered(start);
-    cr_expect(afterwards.answered(start + seconds(8)));
-    cr_expect_not(
-        afterwards.told(start + milliseconds(8100),
-                        answered(milliseconds(100), milliseconds(60'000))));
-    cr_expect(afterwards.since() <= start);
+    store_uptime informed_after;
+    informed_after.answered(start);
+    cr_expect(informed_after.answered(start + seconds(8)));
+    cr_expect_not(informed_after.told(
+        start + milliseconds(8100),
+        view_with(milliseconds(100), milliseconds(60'000))));
+    cr_expect(informed_after.since() <= start);
 }
 
-// All lose the store and one of them has it back first.
-Test(direct_uptime, the_first_answer_to_anyone_ends_an_outage)
+// All instances lose the store, and one of them reaches it again first.
+Test(direct_uptime, the_first_answer_to_any_instance_ends_an_outage)
 {
     store_uptime here;
     here.answered(start);
     const time_point now = start + seconds(8);
-    // What was told before the outage tells nothing of its end.
-    cr_expect_not(here.told(now, answered(milliseconds(8000), seconds(20))));
-    cr_expect(here.told(now, answered(milliseconds(50), milliseconds(300))));
+    // An answer from before the outage doesn't show its end.
+    cr_expect_not(here.told(now, view_with(milliseconds(8000), seconds(20))));
+    cr_expect(here.told(now, view_with(milliseconds(50), milliseconds(300))));
     cr_expect(here.since() == now - milliseconds(300));
     cr_expect_not(here.answered(now + milliseconds(400)));
     cr_expect(here.since() == now - milliseconds(300));
-    // An instance that has not read anything.
+    // The sender has not read the store yet.
     cr_expect_not(here.told(now + seconds(5), {}));
     store_uptime fresh;
     cr_expect_eq(fresh.told_at(now).count(), 0);
-    cr_expect_not(fresh.told(now, answered(milliseconds(50), seconds(5))));
+    cr_expect_not(fresh.told(now, view_with(milliseconds(50), seconds(5))));
     cr_expect(fresh.since() == now - seconds(5));
 }
