--- a/packages/core/include/sycamorelock/core/direct/endpoint_health.hpp
+++ b/packages/core/include/sycamorelock/core/direct/endpoint_health.hpp
@@ -20,8 +20,8 @@
     /// Records a failure of a request that the endpoint may have executed.
     void failed(time_point now);
     /// Records that the endpoint could not be reached or sent nothing within
-    /// its timeout, and ejects it for a time that doubles with each such
-    /// failure in a row.
+    /// its timeout, and ejects it: for 500 ms at first, and for twice as long
+    /// after each further such failure in a row, up to 4 s.
     void unreachable(time_point now);
 
     /// Slowdown factor: observed over predicted time, 1 if nothing is known.
--- a/packages/core/include/sycamorelock/core/direct/endpoint_notices.hpp
+++ b/packages/core/include/sycamorelock/core/direct/endpoint_notices.hpp
@@ -32,9 +32,9 @@
     /// Longest back-off that is honoured without probes, so that an absurdly
     /// long one does not remove an endpoint for good.
     static constexpr milliseconds max_backoff{60'000};
-    /// After that part of a longer back-off, the endpoint gets one probe
-    /// request per this interval, which shows whether it still refuses
-    /// requests.
+    /// Once `max_backoff` of a longer back-off has passed, the endpoint gets
+    /// one probe request per this interval, to find out whether it still
+    /// refuses requests.
     static constexpr milliseconds probe_interval{15'000};
 
     /// Records that an endpoint rejected a request and requested back-off, as
--- a/packages/core/include/sycamorelock/core/direct/endpoint_registry.hpp
+++ b/packages/core/include/sycamorelock/core/direct/endpoint_registry.hpp
@@ -57,12 +57,12 @@
     /// guarantees about two seconds; a quarter is added for network delays.
     static constexpr duration return_grace = std::chrono::milliseconds(2500);
 
-    /// If no more than one in this number of a service's entries is missing
+    /// If at most the `few_divisor`-th part of a service's entries is missing
     /// after an outage, the missing ones are dropped at once. When entries
-    /// lapse, most of them do; a few missing ones belong to endpoints that have
-    /// left, to which no request may be sent throughout the grace period.
-    /// Should a quarter have lapsed after all, the other endpoints carry the
-    /// load for two seconds.
+    /// lapse, most of them do, so a few missing ones belong to endpoints that
+    /// have left, and requests must not go to those for the whole grace period.
+    /// Should a quarter have lapsed after all, the remaining endpoints carry
+    /// the load for two seconds.
     static constexpr std::size_t few_divisor = 4;
 
     /// Adds or changes an entry. Returns false if nothing changed.
--- a/packages/core/include/sycamorelock/core/direct/peers.hpp
+++ b/packages/core/include/sycamorelock/core/direct/peers.hpp
@@ -118,6 +118,7 @@
         time_point acknowledged_at;
         /// When the newest known report became known.
         time_point last_report_at;
+        /// When another instance first listed it.
         time_point known_since;
         /// Cleared by `newly_silent` once the peer is unreachable.
         bool live = false;
--- a/packages/core/include/sycamorelock/core/direct/store_cover.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_cover.hpp
@@ -15,9 +15,9 @@
 {
   public:
     /// An instance reads the store itself if its aggregator has sent no report
-    /// for this time, which is seven report periods. That is well below the
-    /// shortest time within which requests may still be sent to a leaving
-    /// endpoint (2 s).
+    /// for this time, which is seven report periods. That is far below the
+    /// shortest time for which requests to a leaving endpoint are tolerated
+    /// (2 s).
     static constexpr duration aggregator_timeout = milliseconds(700);
     /// Maximum age of the store's last answer to the aggregator. An aggregator
     /// gets an answer at least every 750 ms.
--- a/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
@@ -22,12 +22,13 @@
   public:
     /// An instance that lacks a change for longer than this is sent a copy. One
     /// that can read the store has the change within 500 ms plus the duration
-    /// of a call. The delay is well below the shortest time within which
-    /// requests may still be sent to a leaving endpoint (2 s).
+    /// of a call. The delay is well below the shortest time for which requests
+    /// to a leaving endpoint are tolerated (2 s).
     static constexpr duration help_delay = std::chrono::milliseconds(700);
 
-    /// Records the state known to this instance. To be called before each round
-    /// of the exchange.
+    /// Records how far this instance has read the store. To be called before
+    /// each round of the exchange.
+    ///
     /// \param revision revision up to which this instance has read the store.
     /// \param digest digest of the known endpoints.
     void know(time_point now, std::uint64_t revision, std::uint64_t digest);
--- a/packages/core/lib/direct/unreadable_entries.cpp
+++ b/packages/core/lib/direct/unreadable_entries.cpp
@@ -1,4 +1,4 @@
-// A bounded map from the names of entries to the reasons of their faults.
+// A bounded map from the names of entries to the reasons why they are unusable.
 #include "sycamorelock/core/direct/unreadable_entries.hpp"
 
 #include <algorithm>
--- a/packages/core/unittests/direct_drains_test.cpp
+++ b/packages/core/unittests/direct_drains_test.cpp
@@ -141,7 +141,7 @@
     fix.decides.set_drained(start, {hall, yard}, {});
     cr_expect(std::get<refusal_decision>(fix.decide()).reason ==
               refusal::drained);
-    // The drain is the reason of the refusal even if an endpoint has requested
+    // The drain is the reason for the refusal even if an endpoint has requested
     // back-off.
     fix.decides.note_rest(start, fixture::record("one", hall),
                           milliseconds(3000));
--- a/packages/core/unittests/direct_store_test.cpp
+++ b/packages/core/unittests/direct_store_test.cpp
@@ -82,15 +82,15 @@
 Test(direct_registry, many_entries_missing_after_an_outage_are_kept)
 {
     endpoint_registry registry;
-    std::vector<endpoint_record> left;
+    std::vector<endpoint_record> remaining;
     for (int i = 0; i < 8; ++i)
     {
         registry.put(record("e" + std::to_string(i)));
         if (i < 3)
-            left.push_back(record("e" + std::to_string(i)));
+            remaining.push_back(record("e" + std::to_string(i)));
     }
     registry.platform_returned(start);
-    registry.replace(left);
+    registry.replace(remaining);
     cr_expect(registry.expire(start + seconds(2)).empty());
     cr_expect_eq(registry.all().size(), 8U);
 }
@@ -129,13 +129,13 @@
 Test(direct_registry, an_older_entry_does_not_undo_a_newer_one)
 {
     endpoint_registry member;
-    endpoint_record leaves = record("a");
-    leaves.draining = true;
-    leaves.revision = 5;
-    member.put(leaves);
-    endpoint_record stays = record("a");
-    stays.revision = 4;
-    cr_expect(member.adopt(1, {stays}).changed.empty());
+    endpoint_record leaving = record("a");
+    leaving.draining = true;
+    leaving.revision = 5;
+    member.put(leaving);
+    endpoint_record older = record("a");
+    older.revision = 4;
+    cr_expect(member.adopt(1, {older}).changed.empty());
     cr_expect(member.all().at("a").draining);
 }
 
@@ -189,14 +189,16 @@
     // earlier ones already.
     here.know(later(100), 20, 2);
     cr_expect_not(here.must_help(later(100), "slow", reported(10, 1)));
-    cr_expect(here.must_help(later(100), "turned away", reported(9, 0)));
+    cr_expect(
+        here.must_help(later(100), "rejected by the store", reported(9, 0)));
     here.know(later(800), 20, 2);
     cr_expect(here.must_help(later(800), "slow", reported(10, 1)));
     cr_expect_not(here.must_help(later(900), "slow", reported(10, 1)));
     cr_expect(here.must_help(later(1200), "slow", reported(10, 1)));
     // No copy is sent for the same endpoints or the same revision.
-    cr_expect_not(here.must_help(later(900), "alike", reported(10, 2)));
-    cr_expect_not(here.must_help(later(900), "in grace", reported(20, 3)));
+    cr_expect_not(
+        here.must_help(later(900), "same endpoints", reported(10, 2)));
+    cr_expect_not(here.must_help(later(900), "same revision", reported(20, 3)));
 }
 
 Test(direct_knowledge,
