--- a/packages/core/include/sycamorelock/core/direct/store_uptime.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_uptime.hpp
@@ -15,9 +15,9 @@
   public:
     /// Shortest time without answers that counts as an outage. A reader gets
     /// answers from a reachable store at most 2.5 s apart: the longest wait for
-    /// a change plus the pause before it. Entries lapse after three missed
-    /// heartbeats of 1.2 s each, the last of which may have arrived just before
-    /// the outage.
+    /// a change plus the pause before it. Entries lapse after three
+    /// heartbeat periods of 1.2 s each; the last heartbeat may have arrived
+    /// just before the outage.
     static constexpr duration min_outage = milliseconds(2600);
     /// Longer uptimes are reported as this value.
     static constexpr milliseconds max_reported_uptime{60'000};
