--- a/packages/core/include/sycamorelock/core/entry.hpp
+++ b/packages/core/include/sycamorelock/core/entry.hpp
@@ -1,5 +1,6 @@
-// The way of a request through the instance that accepted it: claim of its
-// idempotency key, wait for a slot, attempts, and exactly one end.
+// Handles each request at its entry, the instance that accepted it from the
+// caller: claims the idempotency key, waits for a slot, runs the attempts and
+// ends the request exactly once.
 #pragma once
 
 #include "sycamorelock/core/cost_estimator.hpp"
@@ -11,17 +12,20 @@
 namespace sycamorelock::core
 {
 
-/// A request as the caller's connection hands it over.
+/// A request as received from the caller's connection.
 struct submission
 {
     request_id id;
     account_id account;
     service_id service;
     std::uint8_t urgency = 3;
+    /// The caller's estimate of the cost.
     std::optional<cost> hint;
-    /// Longest wait for a slot; the service's default if absent.
+    /// Maximum wait for a slot; the service's default if absent.
     std::optional<std::chrono::milliseconds> deadline;
+    /// Hash of the prompt's prefix.
     std::uint32_t prefix = 0;
+    /// False if the request must not be executed more than once.
     bool idempotent = true;
     std::optional<idempotency_key> key;
 };
@@ -30,13 +34,16 @@
 enum class attempt_end : std::uint8_t
 {
     completed,
-    /// No byte of the request left this instance, for want of something here.
+    /// No byte of the request left this instance, for a local reason: no route
+    /// to the endpoint, a shortage of local resources, an expired lease or an
+    /// abort.
     nothing_sent,
-    /// The endpoint gave no connection that took a byte of the request.
+    /// No connection to the endpoint accepted a byte of the request.
     not_connected,
-    /// Sent, but no byte of an answer went to the caller.
+    /// The request was sent, but no byte of the answer reached the caller.
     failed_before_answer,
-    /// The answer had begun; the caller's connection was cut.
+    /// The attempt failed after the answer had begun, so the caller's
+    /// connection was closed.
     failed_in_answer,
     caller_left,
 };
@@ -47,47 +54,63 @@
     std::uint32_t attempt = 0;
     attempt_end end = attempt_end::completed;
     cost total;
+    /// Mean time between two tokens; zero if unknown.
     duration token_delay{0};
-    /// The endpoint answered with a server error, which is passed on.
+    /// The endpoint answered with a server error, which the caller receives.
     bool server_error = false;
 };
 
 struct entry_options
 {
+    /// Interval between renewals of the leases of running requests.
     duration renew_period = std::chrono::seconds(2);
+    /// Lifetime of a slot's lease without renewal. An attempt must start within
+    /// this time of the clock value that its grant echoes.
     duration lease = std::chrono::seconds(5);
-    duration refresh_first = std::chrono::seconds(2);
-    duration refresh_longest = std::chrono::seconds(16);
-    duration claim_repeat = std::chrono::milliseconds(300);
+    /// Interval before an enqueue message is repeated for the first time. It
+    /// doubles with each repeat up to the maximum.
+    duration min_enqueue_interval = std::chrono::seconds(2);
+    duration max_enqueue_interval = std::chrono::seconds(16);
+    /// Interval between repeats of an unanswered claim.
+    duration claim_interval = std::chrono::milliseconds(300);
+    /// Time after the first claim at which the request is refused.
     duration claim_timeout = std::chrono::milliseconds(1500);
-    /// Age after which a granted claim is no longer acted on. Shorter than the
-    /// key owner's window by far more than any clock difference.
-    duration claim_valid = std::chrono::minutes(10);
+    /// Age at which a granted claim expires. It is shorter than the key owner's
+    /// window by far more than any difference between clocks.
+    duration claim_max_age = std::chrono::minutes(10);
+    /// Limits the attempts of one request, including the first.
     std::uint32_t max_attempts = 3;
+    /// Limits the open requests of this entry.
     std::size_t max_requests = 20000;
 };
 
-/// Counters of one entry since start.
+/// Counters of one entry since its start.
 struct entry_counters
 {
     std::uint64_t accepted = 0;
     std::uint64_t completed = 0;
+    /// Answers that failed after their first byte.
     std::uint64_t cut = 0;
     std::uint64_t caller_left = 0;
     std::array<std::uint64_t, refusal_reason_count> refused{};
 };
 
+/// State machine of all open requests of one instance. Messages and actions go
+/// to the outbox.
 class entry
 {
   public:
     entry(entry_options options, shard_directory& directory,
-          const placement& where, outbox& out);
+          const placement& owners, outbox& out);
 
-    void configure(const topology& tree);
-    void submit(time_point now, const submission& wanted);
+    void configure(const topology& config);
+    void submit(time_point now, const submission& submitted);
     void caller_left(time_point now, const request_id& id);
+    /// Records the cost of a running attempt for the next lease renewal.
     void progress(const request_id& id, std::uint32_t attempt, cost so_far);
+    /// Ends the attempt; retries the request or ends it, too.
     void finish(time_point now, const attempt_result& result);
+    /// Refuses all later submissions; open requests continue.
     void stop_accepting() { stopping_ = true; }
 
     void on_message(time_point now, instance_id from, const grant& message);
@@ -98,6 +121,7 @@
 
     [[nodiscard]] std::size_t open_requests() const { return open_.size(); }
     [[nodiscard]] const entry_counters& counters() const { return counters_; }
+    /// Record of an open or recent request; null if there is none.
     [[nodiscard]] const request_record* explain(const request_id& id) const
     {
         return records_.find(id);
@@ -121,38 +145,46 @@
         time_point deadline;
         time_point accepted;
         time_point claim_sent;
+        /// When the claim or enqueue message is repeated.
         time_point next_send;
-        duration refresh{0};
+        duration enqueue_interval{0};
         shard_id shard;
-        instance_id holder;
-        std::uint32_t holder_incarnation = 0;
+        /// Instance that owns the shard and queues or runs this request.
+        instance_id scheduler;
+        std::uint32_t scheduler_incarnation = 0;
+        /// Endpoint of the current attempt, or of the previous one while the
+        /// request waits.
         endpoint_id endpoint;
+        /// The key owner granted the idempotency key to this request.
         bool claimed = false;
-        /// An earlier attempt reached an endpoint, so "not run" is over.
+        /// An earlier attempt may have been executed at its endpoint, so a
+        /// refusal can no longer report that the request was not executed.
         bool maybe_ran = false;
         /// The owner of the shard changed while the request waited.
         bool requeued = false;
     };
     using open_map = std::map<request_id, open_request>;
-    /// When a refused caller may come back if nothing better is known.
-    static constexpr std::chrono::milliseconds soon{1000};
+    /// Delay suggested to a refused caller if the scheduler gave none.
+    static constexpr std::chrono::milliseconds default_retry_after{1000};
 
-    void refuse_new(time_point now, const submission& wanted,
+    void refuse_new(time_point now, const submission& submitted,
                     refusal_reason reason);
     void send_claim(time_point now, open_request& request);
     void start_waiting(time_point now, open_request& request);
     void send_enqueue(time_point now, open_request& request);
-    void run(time_point now, open_request& request, const grant& message);
+    void start_attempt(time_point now, open_request& request,
+                       const grant& message);
     void retry_or_refuse(time_point now, open_map::iterator found,
                          retry_reason reason, executed ran);
     void refuse_open(time_point now, open_map::iterator found,
                      refusal_reason reason, executed ran,
                      std::chrono::milliseconds retry_after);
     void close(time_point now, open_map::iterator found);
-    void withdraw_from_holder(const open_request& request);
+    void send_withdraw(const open_request& request);
     void send_release(const open_request& request, cost total,
                       attempt_outcome outcome, duration token_delay);
-    void follow_owner(time_point now, open_request& request);
+    /// Sends the request to the shard's new owner if the owner has changed.
+    void handle_owner_change(time_point now, open_request& request);
     void send_adopt(open_request& request, instance_id owner);
     void renew_leases(time_point now);
     bool tick_waiting(time_point now, open_map::iterator found);
@@ -163,13 +195,14 @@
     shard_directory& directory_;
     const placement& placement_;
     outbox& out_;
-    const topology* tree_ = nullptr;
+    const topology* topology_ = nullptr;
     open_map open_;
     std::map<account_id, std::size_t> open_by_account_;
     cost_estimator estimator_;
     retry_budget budget_;
     entry_counters counters_;
     time_point next_renew_;
+    /// Generation of the placement for which owners were last checked.
     std::uint64_t seen_generation_ = 0;
     bool stopping_ = false;
     request_records records_;
--- a/packages/core/include/sycamorelock/core/request_records.hpp
+++ b/packages/core/include/sycamorelock/core/request_records.hpp
@@ -1,4 +1,4 @@
-// What happened to the latest requests of an entry, for `explain`.
+// Records of an entry's recent requests, for `explain`.
 #pragma once
 
 #include "sycamorelock/core/reasons.hpp"
@@ -10,7 +10,7 @@
 namespace sycamorelock::core
 {
 
-/// One line of `explain`: what happened to a request.
+/// State and result of one request, as `explain` reports it.
 struct request_record
 {
     request_id id;
@@ -31,17 +31,18 @@
     executed ran = executed::no;
 };
 
-/// The latest records; the oldest ones are dropped.
+/// Bounded table of records. When it is full, the oldest record is dropped.
 class request_records
 {
   public:
-    /// The record of a request, made from `initial` if there is none.
+    /// Returns the record of a request, inserting `initial` if there is none.
     request_record& find_or_add(const request_record& initial);
-    /// Null if the request is unknown or too long ago.
+    /// Returns null if the request is unknown or its record was dropped.
     [[nodiscard]] const request_record* find(const request_id& id) const;
 
   private:
     std::map<request_id, request_record> records_;
+    /// Requests in the order in which their records were inserted.
     std::deque<request_id> order_;
 };
 
--- a/packages/core/lib/entry.cpp
+++ b/packages/core/lib/entry.cpp
@@ -1,6 +1,6 @@
-// Life of accepted requests at their entry: submit, claim, wait, run, end.
-// Claims of idempotency keys are in entry_claims.cpp, timers and owner changes
-// in entry_timers.cpp.
+// Life cycle of accepted requests at their entry: submit, claim, wait, run,
+// end. Claims of idempotency keys are in entry_claims.cpp, timers and owner
+// changes in entry_timers.cpp.
 #include "sycamorelock/core/entry.hpp"
 
 #include <algorithm>
@@ -20,15 +20,16 @@
 } // namespace
 
 entry::entry(entry_options options, shard_directory& directory,
-             const placement& where, outbox& out)
-    : options_(options), directory_(directory), placement_(where), out_(out)
+             const placement& owners, outbox& out)
+    : options_(options), directory_(directory), placement_(owners), out_(out)
 {
 }
 
-void entry::configure(const topology& tree)
+void entry::configure(const topology& config)
 {
-    tree_ = &tree;
-    // Shards may have changed: look at every request again.
+    topology_ = &config;
+    // The shards may have changed, so the next tick checks the owner of every
+    // request.
     seen_generation_ = 0;
 }
 
@@ -44,49 +45,49 @@
     return records_.find_or_add(initial);
 }
 
-void entry::refuse_new(time_point now, const submission& wanted,
+void entry::refuse_new(time_point now, const submission& submitted,
                        refusal_reason reason)
 {
     open_request request;
-    request.spec = wanted;
+    request.spec = submitted;
     request.accepted = now;
-    ++open_by_account_[wanted.account];
-    const auto found = open_.emplace(wanted.id, std::move(request)).first;
-    refuse_open(now, found, reason, executed::no, soon);
+    ++open_by_account_[submitted.account];
+    const auto found = open_.emplace(submitted.id, std::move(request)).first;
+    refuse_open(now, found, reason, executed::no, default_retry_after);
 }
 
-void entry::submit(time_point now, const submission& wanted)
+void entry::submit(time_point now, const submission& submitted)
 {
     ++counters_.accepted;
     if (stopping_)
-        return refuse_new(now, wanted, refusal_reason::shutting_down);
-    if (tree_ == nullptr)
-        return refuse_new(now, wanted, refusal_reason::not_ready);
-    const auto service = tree_->services.find(wanted.service);
-    const auto account = tree_->accounts.find(wanted.account);
-    if (service == tree_->services.end())
-        return refuse_new(now, wanted, refusal_reason::unknown_service);
-    if (account == tree_->accounts.end())
-        return refuse_new(now, wanted, refusal_reason::unauthenticated);
-    const std::size_t open = open_by_account_[wanted.account];
+        return refuse_new(now, submitted, refusal_reason::shutting_down);
+    if (topology_ == nullptr)
+        return refuse_new(now, submitted, refusal_reason::not_ready);
+    const auto service = topology_->services.find(submitted.service);
+    const auto account = topology_->accounts.find(submitted.account);
+    if (service == topology_->services.end())
+        return refuse_new(now, submitted, refusal_reason::unknown_service);
+    if (account == topology_->accounts.end())
+        return refuse_new(now, submitted, refusal_reason::unauthenticated);
+    const std::size_t open = open_by_account_[submitted.account];
     if (open_.size() >= options_.max_requests ||
         open >= account->second.max_in_flight)
-        return refuse_new(now, wanted, refusal_reason::too_many_requests);
+        return refuse_new(now, submitted, refusal_reason::too_many_requests);
 
     budget_.earn();
     open_request request;
-    request.spec = wanted;
+    request.spec = submitted;
     request.accepted = now;
     request.estimate =
-        estimator_.estimate(wanted.account, wanted.service, wanted.hint,
-                            service->second.first_estimate);
+        estimator_.estimate(submitted.account, submitted.service,
+                            submitted.hint, service->second.first_estimate);
     request.deadline =
-        now + wanted.deadline.value_or(service->second.default_deadline);
-    ++open_by_account_[wanted.account];
+        now + submitted.deadline.value_or(service->second.default_deadline);
+    ++open_by_account_[submitted.account];
     open_request& stored =
-        open_.emplace(wanted.id, std::move(request)).first->second;
+        open_.emplace(submitted.id, std::move(request)).first->second;
     record_of(stored);
-    if (wanted.key && !wanted.idempotent)
+    if (submitted.key && !submitted.idempotent)
     {
         stored.state = phase::claiming;
         stored.claim_sent = now;
@@ -100,15 +101,16 @@
 {
     request.state = phase::waiting;
     ++request.attempt;
-    request.refresh = options_.refresh_first;
+    request.enqueue_interval = options_.min_enqueue_interval;
     request.so_far = cost(0);
     send_enqueue(now, request);
 }
 
 void entry::send_enqueue(time_point now, open_request& request)
 {
-    request.next_send = now + request.refresh;
-    request.refresh = std::min(request.refresh * 2, options_.refresh_longest);
+    request.next_send = now + request.enqueue_interval;
+    request.enqueue_interval =
+        std::min(request.enqueue_interval * 2, options_.max_enqueue_interval);
     const shard_spec* home =
         directory_.home(request.spec.service, request.spec.id.number);
     if (home == nullptr)
@@ -117,8 +119,8 @@
     if (!owner)
         return;
     request.shard = home->id;
-    request.holder = *owner;
-    request.holder_incarnation = placement_.incarnation_of(*owner);
+    request.scheduler = *owner;
+    request.scheduler_incarnation = placement_.incarnation_of(*owner);
     enqueue message;
     message.request = request.spec.id;
     message.attempt = request.attempt;
@@ -139,7 +141,8 @@
     const auto found = open_.find(message.request);
     if (found == open_.end() || found->second.attempt != message.attempt)
     {
-        // Too late or superseded: the slot goes back at once.
+        // The request has ended or a later attempt superseded this one, so the
+        // slot is returned at once.
         out_.send(from,
                   withdraw{message.request, message.attempt, message.shard});
         return;
@@ -148,7 +151,7 @@
     if (request.state != phase::waiting)
     {
         const bool same =
-            request.shard == message.shard && request.holder == from;
+            request.shard == message.shard && request.scheduler == from;
         if (!same)
             out_.send(from, withdraw{message.request, message.attempt,
                                      message.shard});
@@ -158,33 +161,35 @@
     const bool stale = clock - message.echo >= in_milliseconds(options_.lease);
     if (stale)
     {
-        // It may have been granted before a suspension of this process.
+        // This process may have been suspended after the slot was granted, and
+        // the lease may have expired meanwhile.
         out_.note(event_number::grant_stale, to_string(message.request));
         out_.count_retry(retry_reason::grant_stale);
-        confirm question;
-        question.request = message.request;
-        question.attempt = message.attempt;
-        question.shard = message.shard;
-        question.entry_clock = clock;
-        out_.send(from, question);
+        confirm query;
+        query.request = message.request;
+        query.attempt = message.attempt;
+        query.shard = message.shard;
+        query.entry_clock = clock;
+        out_.send(from, query);
         return;
     }
-    const bool claim_old =
-        request.claimed && now - request.claim_sent > options_.claim_valid;
-    if (claim_old)
+    const bool claim_expired =
+        request.claimed && now - request.claim_sent > options_.claim_max_age;
+    if (claim_expired)
     {
         out_.send(from,
                   withdraw{message.request, message.attempt, message.shard});
         refuse_open(now, found, refusal_reason::deadline_passed, executed::no,
-                    soon);
+                    default_retry_after);
         return;
     }
-    request.holder = from;
-    request.holder_incarnation = placement_.incarnation_of(from);
-    run(now, request, message);
+    request.scheduler = from;
+    request.scheduler_incarnation = placement_.incarnation_of(from);
+    start_attempt(now, request, message);
 }
 
-void entry::run(time_point now, open_request& request, const grant& message)
+void entry::start_attempt(time_point now, open_request& request,
+                          const grant& message)
 {
     request.state = phase::running;
     request.shard = message.shard;
@@ -195,13 +200,13 @@
     record.attempts = request.attempt;
     if (record.first_grant == time_point{})
         record.first_grant = now;
-    dispatch order;
-    order.request = request.spec.id;
-    order.attempt = request.attempt;
-    order.endpoint = message.endpoint;
+    dispatch command;
+    command.request = request.spec.id;
+    command.attempt = request.attempt;
+    command.endpoint = message.endpoint;
     const duration since_echo = now.time_since_epoch() - duration(message.echo);
-    order.valid_until = now + options_.lease - since_echo;
-    out_.act(order);
+    command.valid_until = now + options_.lease - since_echo;
+    out_.act(command);
 }
 
 void entry::on_message(time_point now, instance_id, const reject& message)
@@ -210,9 +215,9 @@
     if (found == open_.end())
         return;
     const open_request& request = found->second;
-    const bool waits =
+    const bool is_waiting =
         request.state == phase::waiting && request.attempt == message.attempt;
-    if (!waits)
+    if (!is_waiting)
         return;
     refuse_open(now, found, message.reason, executed::no, message.retry_after);
 }
@@ -254,8 +259,9 @@
         close(now, found);
         return;
     case attempt_end::nothing_sent:
-        // Unlike a release this says nothing of the endpoint.
-        withdraw_from_holder(request);
+        // A release would count as a result of the endpoint; the failure was
+        // local.
+        send_withdraw(request);
         retry_or_refuse(now, found, retry_reason::nothing_sent, executed::no);
         return;
     case attempt_end::not_connected:
@@ -289,19 +295,19 @@
 {
     open_request& request = found->second;
     request.maybe_ran = request.maybe_ran || ran != executed::no;
-    const bool harmless = ran == executed::no || request.spec.idempotent;
-    if (!harmless)
+    const bool safe_to_retry = ran == executed::no || request.spec.idempotent;
+    if (!safe_to_retry)
         return refuse_open(now, found, refusal_reason::endpoint_failed, ran,
-                           soon);
+                           default_retry_after);
     if (request.attempt >= options_.max_attempts)
         return refuse_open(now, found, refusal_reason::retries_exhausted, ran,
-                           soon);
+                           default_retry_after);
     if (now >= request.deadline)
         return refuse_open(now, found, refusal_reason::deadline_passed, ran,
-                           soon);
+                           default_retry_after);
     if (!budget_.spend())
         return refuse_open(now, found, refusal_reason::retry_budget_spent, ran,
-                           soon);
+                           default_retry_after);
     out_.count_retry(reason);
     out_.note(event_number::attempt_retried, to_string(request.spec.id));
     start_waiting(now, request);
@@ -315,13 +321,14 @@
     request_record& record = record_of(request);
     record.refused = true;
     record.reason = reason;
-    // A key that the owner has not granted to this request may belong to an
-    // earlier one that was run, so "no" would be untrue for the caller.
-    const bool keyed = request.spec.key && !request.spec.idempotent;
-    if (request.maybe_ran || (keyed && !request.claimed))
+    // If the key owner has not granted the key to this request, an earlier
+    // request with the same key may have been executed, so the caller must not
+    // be told "no".
+    const bool needs_claim = request.spec.key && !request.spec.idempotent;
+    if (request.maybe_ran || (needs_claim && !request.claimed))
         ran = executed::unknown;
     record.ran = ran;
-    if (keyed && ran == executed::no)
+    if (needs_claim && ran == executed::no)
     {
         const auto owner = placement_.key_owner(*request.spec.key);
         if (owner)
@@ -364,12 +371,12 @@
     message.total = total;
     message.outcome = outcome;
     message.token_delay = token_delay;
-    out_.send(request.holder, message);
+    out_.send(request.scheduler, message);
 }
 
-void entry::withdraw_from_holder(const open_request& request)
+void entry::send_withdraw(const open_request& request)
 {
-    out_.send(request.holder,
+    out_.send(request.scheduler,
               withdraw{request.spec.id, request.attempt, request.shard});
 }
 
@@ -378,13 +385,14 @@
     const auto found = open_.find(id);
     if (found == open_.end())
         return;
-    // A running attempt ends through `finish`, which knows how far it got.
+    // A running attempt ends through `finish`, which receives its state.
     if (found->second.state == phase::running)
         return;
     if (found->second.state == phase::waiting)
-        withdraw_from_holder(found->second);
+        send_withdraw(found->second);
     ++counters_.caller_left;
-    refuse_open(now, found, refusal_reason::caller_left, executed::no, soon);
+    refuse_open(now, found, refusal_reason::caller_left, executed::no,
+                default_retry_after);
 }
 
 } // namespace sycamorelock::core
--- a/packages/core/lib/entry_claims.cpp
+++ b/packages/core/lib/entry_claims.cpp
@@ -1,5 +1,5 @@
-// Claims of idempotency keys: a request that may run once only is sent after
-// its key owner has granted the key.
+// Claims of idempotency keys: a request that must not run more than once is
+// sent only after its key owner has granted the key.
 #include "sycamorelock/core/entry.hpp"
 
 namespace sycamorelock::core
@@ -7,7 +7,7 @@
 
 void entry::send_claim(time_point now, open_request& request)
 {
-    request.next_send = now + options_.claim_repeat;
+    request.next_send = now + options_.claim_interval;
     const auto owner = placement_.key_owner(*request.spec.key);
     if (!owner)
         return;
@@ -22,9 +22,9 @@
                        const claim_result& message)
 {
     const auto found = open_.find(message.request);
-    const bool waits =
+    const bool is_waiting =
         found != open_.end() && found->second.state == phase::claiming;
-    if (!waits)
+    if (!is_waiting)
         return;
     open_request& request = found->second;
     switch (message.verdict)
@@ -36,19 +36,19 @@
     case claim_verdict::duplicate:
         out_.note(event_number::key_duplicate, to_string(message.request));
         refuse_open(now, found, refusal_reason::duplicate_key,
-                    executed::unknown, soon);
+                    executed::unknown, default_retry_after);
         return;
     case claim_verdict::outside_memory:
         refuse_open(now, found, refusal_reason::key_outside_memory,
-                    executed::unknown, soon);
+                    executed::unknown, default_retry_after);
         return;
     case claim_verdict::table_full:
         refuse_open(now, found, refusal_reason::too_many_requests,
-                    executed::unknown, soon);
+                    executed::unknown, default_retry_after);
         return;
     case claim_verdict::not_owner:
     case claim_verdict::no_majority:
-        // The lists may agree in a moment: the timer repeats the claim.
+        // The membership lists may converge soon; the timer repeats the claim.
         (void)from;
         return;
     }
--- a/packages/core/lib/entry_timers.cpp
+++ b/packages/core/lib/entry_timers.cpp
@@ -1,4 +1,5 @@
-// What an entry does as time passes: repeats, leases, deadlines, new owners.
+// Periodic work of an entry: repeated messages, lease renewal, deadlines and
+// changes of shard owners.
 #include "sycamorelock/core/entry.hpp"
 
 #include <algorithm>
@@ -9,15 +10,15 @@
 namespace
 {
 
-/// The scheduler refuses a late request first; the entry does so only when it
-/// hears nothing.
+/// Extra time after the deadline in which the scheduler's refusal may arrive.
+/// After it the entry refuses the request itself.
 constexpr duration deadline_grace = std::chrono::milliseconds(250);
 
 } // namespace
 
 void entry::tick(time_point now)
 {
-    const bool moved = seen_generation_ != placement_.generation();
+    const bool placement_changed = seen_generation_ != placement_.generation();
     seen_generation_ = placement_.generation();
     for (auto it = open_.begin(); it != open_.end();)
     {
@@ -27,8 +28,8 @@
             tick_claiming(now, current);
             continue;
         }
-        if (moved)
-            follow_owner(now, current->second);
+        if (placement_changed)
+            handle_owner_change(now, current->second);
         if (current->second.state == phase::waiting)
             tick_waiting(now, current);
     }
@@ -44,12 +45,13 @@
     if (now - request.claim_sent >= options_.claim_timeout)
     {
         const auto owner = placement_.key_owner(*request.spec.key);
-        // The claim may have arrived; the request will not be sent any more.
+        // The claim may have been granted although no answer arrived. The
+        // request will not be sent any more, so the key is released.
         if (owner)
             out_.send(*owner,
                       claim_release{request.spec.id, *request.spec.key});
         refuse_open(now, found, refusal_reason::key_owner_unreachable,
-                    executed::unknown, soon);
+                    executed::unknown, default_retry_after);
         return true;
     }
     if (now >= request.next_send)
@@ -62,9 +64,9 @@
     open_request& request = found->second;
     if (now >= request.deadline + deadline_grace)
     {
-        withdraw_from_holder(request);
+        send_withdraw(request);
         refuse_open(now, found, refusal_reason::deadline_passed, executed::no,
-                    soon);
+                    default_retry_after);
         return true;
     }
     if (now >= request.next_send)
@@ -72,36 +74,37 @@
     return false;
 }
 
-void entry::follow_owner(time_point now, open_request& request)
+void entry::handle_owner_change(time_point now, open_request& request)
 {
-    const bool waits = request.state == phase::waiting;
+    const bool is_waiting = request.state == phase::waiting;
     const shard_spec* home =
-        waits ? directory_.home(request.spec.service, request.spec.id.number)
-              : nullptr;
+        is_waiting
+            ? directory_.home(request.spec.service, request.spec.id.number)
+            : nullptr;
     const shard_id shard = home != nullptr ? home->id : request.shard;
     const auto owner = directory_.owner(shard);
     if (!owner)
         return;
     const bool same =
-        *owner == request.holder && shard == request.shard &&
-        placement_.incarnation_of(*owner) == request.holder_incarnation;
+        *owner == request.scheduler && shard == request.shard &&
+        placement_.incarnation_of(*owner) == request.scheduler_incarnation;
     if (same)
         return;
-    if (!waits)
+    if (!is_waiting)
     {
         send_adopt(request, *owner);
         return;
     }
     out_.count_retry(retry_reason::owner_changed);
-    request.refresh = options_.refresh_first;
+    request.enqueue_interval = options_.min_enqueue_interval;
     request.requeued = true;
     send_enqueue(now, request);
 }
 
 void entry::send_adopt(open_request& request, instance_id owner)
 {
-    request.holder = owner;
-    request.holder_incarnation = placement_.incarnation_of(owner);
+    request.scheduler = owner;
+    request.scheduler_incarnation = placement_.incarnation_of(owner);
     adopt message;
     message.request = request.spec.id;
     message.attempt = request.attempt;
@@ -115,20 +118,20 @@
 
 void entry::renew_leases(time_point now)
 {
-    std::map<std::pair<instance_id, shard_id>, renew> by_holder;
+    std::map<std::pair<instance_id, shard_id>, renew> by_scheduler;
     const auto clock = std::chrono::duration_cast<std::chrono::milliseconds>(
         now.time_since_epoch());
     for (const auto& [id, request] : open_)
     {
         if (request.state != phase::running)
             continue;
-        renew& message = by_holder[{request.holder, request.shard}];
+        renew& message = by_scheduler[{request.scheduler, request.shard}];
         message.shard = request.shard;
         message.entry_clock = clock;
         message.items.push_back({id, request.attempt, request.so_far});
     }
-    for (auto& [holder, message] : by_holder)
-        out_.send(holder.first, std::move(message));
+    for (auto& [target, message] : by_scheduler)
+        out_.send(target.first, std::move(message));
 }
 
 } // namespace sycamorelock::core
--- a/packages/core/lib/request_records.cpp
+++ b/packages/core/lib/request_records.cpp
@@ -1,4 +1,4 @@
-// Bounded store of request records.
+// Bounded table of request records.
 #include "sycamorelock/core/request_records.hpp"
 
 namespace sycamorelock::core
@@ -13,8 +13,8 @@
 
 request_record& request_records::find_or_add(const request_record& initial)
 {
-    const auto [found, fresh] = records_.try_emplace(initial.id, initial);
-    if (!fresh)
+    const auto [found, inserted] = records_.try_emplace(initial.id, initial);
+    if (!inserted)
         return found->second;
     order_.push_back(initial.id);
     if (order_.size() > max_records)
