--- a/packages/core/include/sycamorelock/core/key_owner.hpp
+++ b/packages/core/include/sycamorelock/core/key_owner.hpp
@@ -1,5 +1,5 @@
-// Remembers which idempotency keys were claimed, so that a request that may run
-// once is not run again through another instance.
+// Table of claimed idempotency keys at their owner. It prevents a request that
+// must run at most once from running again through another instance.
 #pragma once
 
 #include "sycamorelock/core/messages.hpp"
@@ -12,42 +12,52 @@
 
 struct key_owner_options
 {
-    /// How long a key is remembered, and how old a key may be.
+    /// Maximum age of a key that can be claimed. A claim is kept for this time
+    /// plus twice the clock skew.
     wall_time window = std::chrono::minutes(15);
-    /// Longest time by which two instances' member lists may differ.
+    /// Maximum time for which the member lists of two instances may differ.
     wall_time membership_lag = std::chrono::seconds(5);
-    /// Largest difference between the clocks of callers and instances.
+    /// Maximum difference between the clocks of callers and instances.
     wall_time clock_skew = std::chrono::seconds(2);
+    /// Limits the claims that are kept; new keys are refused beyond it.
     std::size_t max_claims = 100000;
 };
 
-/// Time at which a UUIDv7 was made; nothing if the bytes are no UUIDv7.
-bool time_of_key(const idempotency_key& key, wall_time& made);
+/// Reads the creation time of a UUIDv7 (RFC 9562, section 5.7). Returns false
+/// and leaves `created` unchanged if the version field is not 7.
+bool time_of_key(const idempotency_key& key, wall_time& created);
 
+/// Grants each idempotency key to at most one request.
 class key_owner
 {
   public:
     key_owner(key_owner_options options, wall_time started);
 
-    /// Decides on a claim for a key owned without a gap since `owned_since`.
-    /// Repeating a granted claim for the same request is granted again.
+    /// Decides on a claim for a key that this instance has owned without
+    /// interruption since `owned_since`. A repeated claim by the request that
+    /// holds the key is granted again.
     claim_verdict claim_key(wall_time now, wall_time owned_since,
-                            const claim& wanted);
+                            const claim& message);
 
-    /// Frees a key whose request was never sent.
+    /// Removes the claim of a request that was never sent to an endpoint.
     void release(const claim_release& message);
 
-    /// Forgets nothing, but trusts the memory only from now on. Called when the
-    /// process was suspended and others may have taken its place.
+    /// Keeps all claims, but grants no new key created before `now`. Called
+    /// after the process was suspended, because another instance may have owned
+    /// its keys meanwhile.
     void restart(wall_time now) { trusted_since_ = now; }
 
+    /// Removes claims whose keys are too old to be claimed again.
     void expire(wall_time now);
     [[nodiscard]] std::size_t size() const { return claims_.size(); }
 
   private:
     key_owner_options options_;
+    /// Start of the process or end of its last suspension. Claims of keys
+    /// created before may be missing from the table.
     wall_time trusted_since_;
     std::map<idempotency_key, request_id> claims_;
+    /// Keys by the time of their claim, including released ones.
     std::deque<std::pair<wall_time, idempotency_key>> order_;
 };
 
--- a/packages/core/include/sycamorelock/core/messages.hpp
+++ b/packages/core/include/sycamorelock/core/messages.hpp
@@ -1,4 +1,4 @@
-// Messages between instances, as plain data. The wire package encodes them.
+// Messages between instances as plain data. The wire package encodes them.
 #pragma once
 
 #include "sycamorelock/core/reasons.hpp"
@@ -14,8 +14,8 @@
 namespace sycamorelock::core
 {
 
-/// Position in the sequence of configurations. The digest orders two documents
-/// that were published under one version, so that all instances settle on one.
+/// Version of a configuration. The digest orders two documents that were
+/// published under the same number, so that all instances converge on one.
 struct config_version
 {
     std::uint64_t number = 0;
@@ -24,16 +24,17 @@
     auto operator<=>(const config_version&) const = default;
 };
 
-/// What an instance knows of another's liveness.
+/// Latest heartbeat counter that an instance knows of another instance.
 struct heartbeat
 {
     instance_id instance;
     std::uint32_t incarnation = 0;
     std::uint32_t counter = 0;
+    /// The instance is shutting down.
     bool leaving = false;
 };
 
-/// Gossip of heartbeat counters and of the versions in force at the sender.
+/// Gossips heartbeat counters and the versions that are in force at the sender.
 struct gossip
 {
     std::vector<heartbeat> heartbeats;
@@ -41,7 +42,8 @@
     std::uint64_t membership_version = 0;
 };
 
-/// Asks for a slot. Repeated while the request waits; repeats are idempotent.
+/// Queues a request for a slot. The entry repeats the message while the request
+/// waits; repeats are idempotent.
 struct enqueue
 {
     request_id request;
@@ -50,20 +52,21 @@
     account_id account;
     std::uint8_t urgency = 3;
     cost estimate;
+    /// Time until the deadline.
     std::chrono::milliseconds time_left{0};
+    /// Hash of the prompt's prefix.
     std::uint32_t prefix = 0;
-    /// Endpoint of the attempt before, if any; another one is preferred.
+    /// Endpoint of the previous attempt, if any; another endpoint is preferred.
     endpoint_id tried;
-    /// Clock of the entry, echoed in the grant.
+    /// Time on the entry's clock, which the grant echoes.
     std::chrono::milliseconds entry_clock{0};
     /// Set when a scheduler moved the request to another shard.
     bool moved = false;
-    /// Set when the request waited at, or was passed on by, a previous owner of
-    /// the shard.
+    /// Set when a previous owner of the shard queued or forwarded the request.
     bool requeued = false;
 };
 
-/// Withdraws a waiting request or hands back an unused grant.
+/// Removes a waiting request from the queue or returns an unused grant.
 struct withdraw
 {
     request_id request;
@@ -71,8 +74,9 @@
     shard_id shard;
 };
 
-/// Gives a slot to a request. `echo` is the newest entry clock that the
-/// scheduler had seen; an entry that was suspended recognises an old one.
+/// Grants a slot to a request. `echo` is the latest time on the entry's clock
+/// that the scheduler has received. An entry that was suspended detects a stale
+/// grant by an old echo.
 struct grant
 {
     request_id request;
@@ -82,7 +86,8 @@
     std::chrono::milliseconds echo{0};
 };
 
-/// Asks the scheduler whether a grant with an old echo still stands.
+/// Requests that the scheduler repeat a grant with an old echo if the grant is
+/// still valid.
 struct confirm
 {
     request_id request;
@@ -91,7 +96,7 @@
     std::chrono::milliseconds entry_clock{0};
 };
 
-/// Final answer of a scheduler: the request will not get a slot.
+/// Final refusal of a slot by the scheduler.
 struct reject
 {
     request_id request;
@@ -100,7 +105,7 @@
     std::chrono::milliseconds retry_after{0};
 };
 
-/// Renews the lease of running requests and reports the cost so far.
+/// Renews the leases of running requests and reports their cost so far.
 struct renew
 {
     struct item
@@ -114,7 +119,7 @@
     std::vector<item> items;
 };
 
-/// Tells a new owner of a shard about a request that already runs.
+/// Transfers a running request to the new owner of its shard.
 struct adopt
 {
     request_id request;
@@ -130,12 +135,13 @@
 enum class attempt_outcome : std::uint8_t
 {
     completed,
+    /// The grant was returned without an attempt.
     unused,
     endpoint_failed,
     caller_left,
 };
 
-/// Frees a slot and reports the true cost.
+/// Frees a slot and reports the final cost.
 struct release
 {
     request_id request;
@@ -143,22 +149,26 @@
     shard_id shard;
     cost total;
     attempt_outcome outcome = attempt_outcome::completed;
-    /// Mean delay between tokens as the entry saw it; zero if unknown.
+    /// Mean time between two tokens as observed at the entry; zero if unknown.
     duration token_delay{0};
 };
 
-/// What the scheduler of one shard tells the others of its service.
+/// Load report of the scheduler of one shard to the other schedulers of its
+/// service, on which they move waiting requests between shards.
 struct advert
 {
     shard_id shard;
-    /// Requests that it could take without delay or keeps too few of.
+    /// Number of requests that the sender accepts from other shards: its free
+    /// slots, and what its queue lacks to its target length.
     std::uint32_t wanted = 0;
+    /// Number of waiting requests.
     std::uint32_t backlog = 0;
+    /// Virtual time of the request that the sender serves next.
     virtual_time next;
 };
 
-/// Service given by one scheduler, per client account, as running totals.
-/// Totals make a lost message harmless: the next one carries it too.
+/// Service given by one scheduler to each client account, as running totals, so
+/// that the next message also covers a lost one.
 struct service_report
 {
     struct item
@@ -167,30 +177,33 @@
         std::int64_t total = 0;
         /// Whether requests of the account wait at the sender.
         bool waiting = false;
-        /// Set when the account was lifted since the previous report: its
-        /// virtual time less the service that it includes. Without that part
-        /// a receiver does not count service twice that it hears of later.
+        /// Set if the account's virtual time was raised since the previous
+        /// report: the raised virtual time minus the service that it includes.
+        /// That service is left out because the receiver adds it from the
+        /// totals, and would otherwise count it twice.
         std::optional<virtual_time> lifted_to;
     };
     shard_id shard;
-    /// Start of the totals; changes when the scheduler loses them.
+    /// Identifies one sequence of totals. A scheduler that lost its totals
+    /// starts a new epoch.
     std::uint32_t epoch = 0;
     std::vector<item> items;
 };
 
-/// Asks another scheduler of the service for its virtual times.
+/// Requests the virtual times of another scheduler of the same service.
 struct snapshot_request
 {
     shard_id shard;
 };
 
-/// Virtual times of every account known to a scheduler, and the running totals
-/// that they include, so that the receiver counts no service twice or never.
+/// Virtual times of all accounts known to a scheduler, and the running totals
+/// that they include, so that the receiver counts all service exactly once.
 struct snapshot
 {
     struct item
     {
         account_id account;
+        /// Virtual time of the account.
         virtual_time at;
     };
     struct account_total
@@ -198,7 +211,7 @@
         account_id account;
         std::int64_t total = 0;
     };
-    /// Totals of one scheduler of the service in one of its epochs.
+    /// Totals of one scheduler of the service in one epoch.
     struct included_totals
     {
         shard_id shard;
@@ -206,12 +219,13 @@
         std::vector<account_total> items;
     };
     shard_id shard;
+    /// System virtual time of the sender's fair queue.
     virtual_time system;
     std::vector<item> items;
     std::vector<included_totals> included;
 };
 
-/// UUIDv7 as sent by the caller, with the account it belongs to.
+/// UUIDv7 (RFC 9562) as sent by the caller, with its client account.
 struct idempotency_key
 {
     account_id account;
@@ -220,7 +234,7 @@
     auto operator<=>(const idempotency_key&) const = default;
 };
 
-/// Asks the key owner for the right to run a request that may run once only.
+/// Claims a key at its owner for a request that must not run more than once.
 struct claim
 {
     request_id request;
@@ -228,13 +242,18 @@
     std::uint64_t membership_version = 0;
 };
 
-/// What a key owner says to a claim.
+/// Answer of a key owner to a claim.
 enum class claim_verdict : std::uint8_t
 {
     granted,
+    /// Another request has claimed the key.
     duplicate,
+    /// The key is malformed, or the owner cannot know whether it was claimed.
     outside_memory,
+    /// The receiver does not own the key, or the membership versions of sender
+    /// and receiver differ.
     not_owner,
+    /// The receiver sees no majority of the listed instances as live.
     no_majority,
     table_full,
 };
@@ -246,28 +265,30 @@
     std::chrono::milliseconds retry_after{0};
 };
 
-/// Tells the key owner that the claimed request was never sent.
+/// Releases the key of a request that was never sent to an endpoint.
 struct claim_release
 {
     request_id request;
     idempotency_key key;
 };
 
-/// Asks for whatever the receiver has that is newer.
+/// Requests the receiver's configuration and member list if they are newer than
+/// the sender's.
 struct config_request
 {
+    /// Version of the sender's configuration.
     config_version have;
     std::uint64_t membership_version = 0;
 };
 
-/// The operators' tree as the platform published it.
+/// The operators' configuration as the platform published it.
 struct config_document
 {
     std::uint64_t version = 0;
     std::string text;
 };
 
-/// The platform's list of members, copied between instances.
+/// The platform's member list, which instances copy to each other.
 struct membership_document
 {
     std::string text;
@@ -281,7 +302,8 @@
 
 constexpr std::size_t message_type_count = std::variant_size_v<peer_message>;
 
-/// Name of a kind of message, by its index in `peer_message`, as in metrics.
+/// Returns the name of a message type, as in metrics, by its index in
+/// `peer_message`.
 std::string_view message_type_name(std::size_t index);
 
 } // namespace sycamorelock::core
--- a/packages/core/include/sycamorelock/core/reasons.hpp
+++ b/packages/core/include/sycamorelock/core/reasons.hpp
@@ -1,4 +1,4 @@
-// Reasons of refusals and retries. Each has a counter and a text.
+// Reasons for refusals and retries. Each has a counter and a text form.
 #pragma once
 
 #include <array>
@@ -8,7 +8,8 @@
 namespace sycamorelock::core
 {
 
-/// Why a request is refused. The order is the wire value: append only.
+/// Why a request is refused. The values are part of the wire format: append
+/// only.
 enum class refusal_reason : std::uint8_t
 {
     queue_full,
@@ -20,6 +21,8 @@
     retry_budget_spent,
     endpoint_failed,
     duplicate_key,
+    /// The key is malformed, or its creation time lies outside the period for
+    /// which its owner knows every claim.
     key_outside_memory,
     key_owner_unreachable,
     too_many_requests,
@@ -44,7 +47,8 @@
 };
 inline constexpr std::size_t retry_reason_count = 5;
 
-/// Whether a refused request was run. `no` is said only when it is known.
+/// Whether a refused request was executed. `no` means that it certainly was
+/// not.
 enum class executed : std::uint8_t
 {
     no,
--- a/packages/core/lib/key_owner.cpp
+++ b/packages/core/lib/key_owner.cpp
@@ -6,7 +6,7 @@
 namespace sycamorelock::core
 {
 
-bool time_of_key(const idempotency_key& key, wall_time& made)
+bool time_of_key(const idempotency_key& key, wall_time& created)
 {
     static constexpr std::uint8_t version_seven = 0x70;
     if ((key.bytes[6] & 0xf0U) != version_seven)
@@ -15,7 +15,7 @@
     static constexpr std::size_t time_bytes = 6;
     for (std::size_t i = 0; i < time_bytes; ++i)
         milliseconds = milliseconds << 8 | key.bytes.at(i);
-    made = wall_time(milliseconds);
+    created = wall_time(milliseconds);
     return true;
 }
 
@@ -25,44 +25,46 @@
 }
 
 claim_verdict key_owner::claim_key(wall_time now, wall_time owned_since,
-                                   const claim& wanted)
+                                   const claim& message)
 {
-    const auto known = claims_.find(wanted.key);
-    if (known != claims_.end())
+    const auto found = claims_.find(message.key);
+    if (found != claims_.end())
     {
-        const bool same = known->second == wanted.request;
+        const bool same = found->second == message.request;
         return same ? claim_verdict::granted : claim_verdict::duplicate;
     }
-    wall_time made{0};
-    if (!time_of_key(wanted.key, made))
+    wall_time created{0};
+    if (!time_of_key(message.key, created))
         return claim_verdict::outside_memory;
-    // An empty memory must not be mistaken for "never seen": only keys made
-    // after every possible earlier owner had stopped can be new for certain.
+    // A key that is missing from this table may have been claimed at an earlier
+    // owner or before this process started. Only a key created after every
+    // earlier owner has stopped granting claims is certainly new.
     const wall_time trusted = std::max(trusted_since_, owned_since) +
                               options_.membership_lag + options_.clock_skew;
-    if (made < trusted || made < now - options_.window)
+    if (created < trusted || created < now - options_.window)
         return claim_verdict::outside_memory;
-    if (made > now + options_.clock_skew)
+    if (created > now + options_.clock_skew)
         return claim_verdict::outside_memory;
     if (claims_.size() >= options_.max_claims)
         return claim_verdict::table_full;
-    claims_.emplace(wanted.key, wanted.request);
-    order_.emplace_back(now, wanted.key);
+    claims_.emplace(message.key, message.request);
+    order_.emplace_back(now, message.key);
     return claim_verdict::granted;
 }
 
 void key_owner::release(const claim_release& message)
 {
-    const auto known = claims_.find(message.key);
-    if (known == claims_.end() || known->second != message.request)
+    const auto found = claims_.find(message.key);
+    if (found == claims_.end() || found->second != message.request)
         return;
-    claims_.erase(known);
+    claims_.erase(found);
 }
 
 void key_owner::expire(wall_time now)
 {
-    // A key made up to `clock_skew` in the future stays acceptable that much
-    // longer than the window, so its claim is kept for as long.
+    // A key whose creation time lies up to `clock_skew` in the future can be
+    // claimed for that much longer than the window, so its claim is kept
+    // longer, too.
     const wall_time keep = options_.window + options_.clock_skew * 2;
     while (!order_.empty() && order_.front().first + keep < now)
     {
--- a/packages/core/lib/messages.cpp
+++ b/packages/core/lib/messages.cpp
@@ -1,4 +1,4 @@
-// Names of the messages between instances.
+// Names of the message types between instances.
 #include "sycamorelock/core/messages.hpp"
 
 #include <cassert>
@@ -28,7 +28,7 @@
         "config_request",
         "config_document",
         "membership_document"};
-    assert(index < names.size() && "kind of message without a name");
+    assert(index < names.size() && "message type without a name");
     return names[index];
 }
 
--- a/packages/core/lib/reasons.cpp
+++ b/packages/core/lib/reasons.cpp
@@ -1,4 +1,4 @@
-// Texts of refusal and retry reasons.
+// Text forms of refusal and retry reasons.
 #include "sycamorelock/core/reasons.hpp"
 
 #include <cassert>
