--- a/packages/core/include/sycamorelock/core/node.hpp
+++ b/packages/core/include/sycamorelock/core/node.hpp
@@ -1,5 +1,6 @@
-// All decisions of one instance. Events and the time go in; messages, actions
-// and numbered events come out through the sink. No thread, clock or socket.
+// Makes all decisions of one instance. Inputs and the current time go in;
+// messages, actions and numbered events come out through the sink. Uses no
+// thread, clock or socket.
 #pragma once
 
 #include "sycamorelock/core/control_state.hpp"
@@ -11,18 +12,18 @@
 namespace sycamorelock::core
 {
 
-/// Where the results of decisions go.
+/// Receives the results of decisions.
 template <class T>
 concept node_sink = requires(T& sink, instance_id to,
-                             std::vector<peer_message> messages, action what,
-                             event happened)
+                             std::vector<peer_message> messages, action command,
+                             event occurrence)
 {
     sink.send(to, std::move(messages));
-    sink.act(std::move(what));
-    sink.note(std::move(happened));
+    sink.act(std::move(command));
+    sink.note(std::move(occurrence));
 };
 
-/// Feeds events to the control state and drains its outbox after each.
+/// Passes inputs to the control state and drains its outbox after each.
 template <node_sink Sink> class node
 {
   public:
@@ -31,7 +32,7 @@
     {
     }
 
-    /// Calls a member of the control state and carries out what it decided.
+    /// Calls `input` with the control state and passes the results to the sink.
     template <class Input> void handle(moment now, Input&& input)
     {
         state_.begin(now);
@@ -44,7 +45,8 @@
   private:
     void drain(moment now)
     {
-        // Messages to the own instance are handled here, which may add more.
+        // Messages of this instance to itself are handled here, which may add
+        // more messages.
         for (;;)
         {
             auto messages = state_.out().take_messages();
@@ -61,10 +63,10 @@
                     state_.receive_own(now, content);
             }
         }
-        for (action& what : state_.out().take_actions())
-            sink_.act(std::move(what));
-        for (event& happened : state_.out().take_events())
-            sink_.note(std::move(happened));
+        for (action& command : state_.out().take_actions())
+            sink_.act(std::move(command));
+        for (event& occurrence : state_.out().take_events())
+            sink_.note(std::move(occurrence));
     }
 
     control_state state_;
--- a/packages/core/include/sycamorelock/core/outbox.hpp
+++ b/packages/core/include/sycamorelock/core/outbox.hpp
@@ -1,4 +1,4 @@
-// Collects what the decisions want done: messages to instances, actions of the
+// Collects the results of decisions: messages to instances, actions of the
 // local data plane, and events for logs and counters.
 #pragma once
 
@@ -13,7 +13,7 @@
 namespace sycamorelock::core
 {
 
-/// Send a request to an endpoint. The data plane must not send a byte after
+/// Sends a request to an endpoint. The data plane must not send a byte after
 /// `valid_until`.
 struct dispatch
 {
@@ -23,7 +23,7 @@
     time_point valid_until;
 };
 
-/// Answer the caller with a refusal.
+/// Answers the caller with a refusal.
 struct refuse
 {
     request_id request;
@@ -32,15 +32,15 @@
     std::chrono::milliseconds retry_after{0};
 };
 
-/// Check a configuration that another instance sent; the answer is a call of
-/// `install_config` or nothing.
+/// Checks a configuration that another instance sent. The data plane calls
+/// `install_config` if it is valid and does nothing otherwise.
 struct check_config
 {
     std::uint64_t version = 0;
     std::string text;
 };
 
-/// Check a member list that another instance sent.
+/// Checks a member list that another instance sent.
 struct check_membership
 {
     std::string text;
@@ -48,7 +48,7 @@
 
 using action = std::variant<dispatch, refuse, check_config, check_membership>;
 
-/// Numbered events of the decisions. docs/EVENTS.md is the catalogue.
+/// Numbers of the events that decisions emit. docs/EVENTS.md describes them.
 enum class event_number : std::uint16_t
 {
     instance_suspected = 2001,
@@ -81,7 +81,7 @@
     std::string detail;
 };
 
-/// Where decisions put their results. Drained by the node after each input.
+/// Buffers the results of decisions. The node drains it after each input.
 class outbox
 {
   public:
@@ -89,7 +89,7 @@
     {
         messages_[to].push_back(std::move(content));
     }
-    void act(action what) { actions_.push_back(std::move(what)); }
+    void act(action command) { actions_.push_back(std::move(command)); }
     void note(event_number number, std::string detail = {})
     {
         events_.push_back({number, std::move(detail)});
--- a/packages/core/include/sycamorelock/core/strong_types.hpp
+++ b/packages/core/include/sycamorelock/core/strong_types.hpp
@@ -11,12 +11,13 @@
 namespace sycamorelock::core
 {
 
-/// Stable 32-bit digest (CRC-32) of a configured name.
+/// Returns the 32-bit digest (CRC-32) of a configured name. It is the same in
+/// every process and release.
 std::uint32_t digest_of_name(std::string_view name);
 
 /// Identifier made from a configured name. Its value is the same in every
 /// process and release, so it can travel between instances in four bytes. The
-/// settings checker reports two names of one kind whose digests collide.
+/// settings checker reports two names of the same type whose digests collide.
 template <class Tag> class name_id
 {
   public:
@@ -68,8 +69,8 @@
     Rep value_ = 0;
 };
 
-/// Service given to a request: generated tokens for a model service,
-/// milliseconds of slot time for a plain service.
+/// Amount of service that a request received: generated tokens for a model
+/// service, milliseconds of slot time for a plain service.
 using cost = quantity<struct cost_tag, std::int64_t>;
 
 /// Cost divided by the account's weight.
@@ -88,7 +89,7 @@
 using duration = core_clock::duration;
 using time_point = core_clock::time_point;
 
-/// A duration as a number of milliseconds.
+/// Converts a duration to milliseconds.
 inline double to_ms(duration value)
 {
     return std::chrono::duration<double, std::milli>(value).count();
@@ -97,8 +98,8 @@
 /// Milliseconds since the Unix epoch, as idempotency keys carry them.
 using wall_time = std::chrono::milliseconds;
 
-/// Names one accepted request in the whole fleet. The incarnation is drawn at
-/// process start, so a restarted instance never repeats an id.
+/// Identifies an accepted request in the whole fleet. The incarnation is drawn
+/// at process start, so a restarted instance never reuses an id.
 struct request_id
 {
     instance_id entry;
@@ -108,14 +109,15 @@
     auto operator<=>(const request_id&) const = default;
 };
 
-/// Text form used in headers, logs and `explain`.
+/// Returns the text form used in headers, logs and `explain`.
 std::string to_string(const request_id& id);
 
-/// Reads the text form; returns false when it is malformed.
+/// Parses the text form. Returns false if it is malformed; `id` may then have
+/// been changed in part.
 bool parse_request_id(std::string_view text, request_id& id);
 
-/// A bounded group of endpoints of one service in one failure domain, with one
-/// scheduler at a time.
+/// Identifies a bounded group of endpoints of one service in one failure
+/// domain. Each group has one scheduler at a time.
 struct shard_id
 {
     service_id service;
