--- a/packages/core/unittests/claims_test.cpp
+++ b/packages/core/unittests/claims_test.cpp
@@ -1,5 +1,5 @@
-// Idempotency keys over several cores: where a claim must not be granted, and
-// what may be said of a key that was refused.
+// Idempotency keys in a fleet of several instances: when a claim must not be
+// granted, and what a refusal may report about execution.
 #include "fake_fleet.hpp"
 
 #include <criterion/criterion.h>
@@ -10,10 +10,12 @@
 namespace
 {
 
-/// Past the time in which new owners trust no key.
-constexpr duration past_the_lag = std::chrono::seconds(10);
+/// Longer than the time for which a new owner grants no key (membership lag
+/// plus clock skew).
+constexpr duration key_trust_delay = std::chrono::seconds(10);
 
-int runs_of(fake_fleet& fleet, const std::vector<request_id>& ids)
+/// Counts how often the endpoints executed the requests.
+int count_runs(fake_fleet& fleet, const std::vector<request_id>& ids)
 {
     int runs = 0;
     for (const request_id& id : ids)
@@ -29,7 +31,7 @@
     return keys;
 }
 
-/// Submits each key once and waits for the ends.
+/// Submits one request for each key and waits until all have ended.
 std::vector<request_id> submit_keys(fake_fleet& fleet, std::size_t entry,
                                     const std::vector<idempotency_key>& keys)
 {
@@ -42,52 +44,55 @@
 
 } // namespace
 
-Test(claims, a_minority_grants_no_key_and_a_majority_goes_on)
+Test(claims, a_minority_grants_no_key_and_a_majority_still_does)
 {
     fake_fleet fleet({});
-    fleet.advance(past_the_lag);
+    fleet.advance(key_trust_delay);
     fleet.cut_domain(2, true);
-    fleet.advance(past_the_lag);
-    // A third of the keys is owned within the domain that is cut off.
+    fleet.advance(key_trust_delay);
+    // About a third of the keys have owners in the partitioned failure domain.
     const auto minority = submit_keys(fleet, 4, make_keys(fleet));
-    cr_assert_eq(runs_of(fleet, minority), 0);
+    cr_assert_eq(count_runs(fleet, minority), 0);
     const auto majority = submit_keys(fleet, 0, make_keys(fleet));
-    cr_assert(runs_of(fleet, majority) > 0);
+    cr_assert(count_runs(fleet, majority) > 0);
 }
 
-Test(claims, a_key_that_ran_is_never_said_not_to_have_run)
+Test(claims, a_refusal_never_denies_that_a_key_was_executed)
 {
     fake_fleet fleet({});
-    fleet.advance(past_the_lag);
+    fleet.advance(key_trust_delay);
     const idempotency_key key = fleet.make_key(0, 1);
     const request_id first = fleet.submit(0, 0, false, key);
     fleet.advance(std::chrono::seconds(5));
     cr_assert_eq(fleet.outcomes().at(first).completed, 1);
-    // The repeat is refused before the key's owner is asked.
+    // The repeated request is refused before its claim is sent to the key
+    // owner.
     fleet.stop_accepting(1);
     const request_id repeat = fleet.submit(1, 0, false, key);
-    const outcome& said = fleet.outcomes().at(repeat);
-    cr_assert_eq(said.refused, 1);
-    cr_assert(said.reason == refusal_reason::shutting_down);
-    cr_assert(said.ran == executed::unknown);
+    const outcome& result = fleet.outcomes().at(repeat);
+    cr_assert_eq(result.refused, 1);
+    cr_assert(result.reason == refusal_reason::shutting_down);
+    cr_assert(result.ran == executed::unknown);
 }
 
-Test(claims, an_owner_that_slept_through_its_removal_trusts_no_key_from_then)
+Test(claims, an_owner_suspended_during_its_removal_grants_no_key_from_that_time)
 {
     fake_fleet fleet({});
-    fleet.advance(past_the_lag);
+    fleet.advance(key_trust_delay);
     fleet.pause(0);
     fleet.publish_members({0}, std::chrono::milliseconds(100));
-    fleet.advance(past_the_lag);
+    fleet.advance(key_trust_delay);
     const auto keys = make_keys(fleet);
     const auto first = submit_keys(fleet, 1, keys);
-    cr_assert(runs_of(fleet, first) > 0);
-    // It is listed again and owns a part of the keys, of which others remember
-    // that they ran. Its list is the same as the one that it fell asleep with.
+    cr_assert(count_runs(fleet, first) > 0);
+    // The instance is listed again and owns some of the keys that other
+    // instances granted meanwhile. It cannot detect the change by its member
+    // list, which is the same as before the suspension.
     fleet.publish_members({}, std::chrono::milliseconds(100));
     fleet.resume(0);
-    fleet.advance(past_the_lag);
-    const auto again = submit_keys(fleet, 2, keys);
+    fleet.advance(key_trust_delay);
+    const auto repeated = submit_keys(fleet, 2, keys);
     for (std::size_t i = 0; i < keys.size(); ++i)
-        cr_assert(runs_of(fleet, {first[i], again[i]}) <= 1, "key %zu", i);
+        cr_assert(count_runs(fleet, {first[i], repeated[i]}) <= 1, "key %zu",
+                  i);
 }
--- a/packages/core/unittests/fake_node.hpp
+++ b/packages/core/unittests/fake_node.hpp
@@ -1,4 +1,4 @@
-// One node of the fake fleet, for its sources only.
+// State of one simulated instance; included only by the sources of fake_fleet.
 #pragma once
 
 #include "fake_fleet.hpp"
@@ -16,8 +16,11 @@
         {
             fleet->on_send(index, to, std::move(messages));
         }
-        void act(const action& what) { fleet->on_action(index, what); }
-        void note(const event& happened) { ++fleet->events_[happened.number]; }
+        void act(const action& command) { fleet->on_action(index, command); }
+        void note(const event& occurrence)
+        {
+            ++fleet->events_[occurrence.number];
+        }
     };
     std::string name;
     std::size_t domain = 0;
@@ -26,6 +29,7 @@
     bool paused = false;
     time_point next_tick;
     std::uint64_t sequence = 0;
+    /// Incarnation and sequence number of the latest batch from each sender.
     std::map<std::size_t, std::pair<std::uint32_t, std::uint64_t>> seen;
     sink out;
     std::unique_ptr<node<sink>> core;
--- a/packages/core/unittests/test_keys.hpp
+++ b/packages/core/unittests/test_keys.hpp
@@ -1,4 +1,4 @@
-// Idempotency keys for tests.
+// Creates idempotency keys for tests.
 #pragma once
 
 #include "sycamorelock/core/messages.hpp"
@@ -6,7 +6,8 @@
 namespace sycamorelock::core::testing
 {
 
-/// A UUID of version 7 made at a time; `number` tells keys of one time apart.
+/// Returns a UUIDv7 with the given creation time. `number` distinguishes keys
+/// with the same creation time.
 inline idempotency_key key_made(account_id account, wall_time at,
                                 std::uint64_t number = 0)
 {
