--- a/packages/core/include/sycamorelock/core/fair_queue.hpp
+++ b/packages/core/include/sycamorelock/core/fair_queue.hpp
@@ -14,45 +14,55 @@
 namespace sycamorelock::core
 {
 
-/// A request that waits for a slot.
+/// A queued request that has no slot yet.
 struct waiting_request
 {
     request_id id;
     std::uint32_t attempt = 0;
     account_id account;
+    /// Priority of the request; 0 is the most urgent.
     std::uint8_t urgency = 3;
     cost estimate;
     time_point deadline;
     time_point enqueued;
     std::uint32_t prefix = 0;
+    /// Endpoint of the previous attempt, if any; another one is preferred.
     endpoint_id tried;
+    /// Set when the scheduler of another shard moved the request here.
     bool moved = false;
+    /// Set when the request was queued at, or forwarded by, a previous owner of
+    /// the shard.
     bool requeued = false;
 };
 
-/// Order in which waiting requests are served.
+/// Order in which queued requests are served.
 enum class queue_order : std::uint8_t
 {
+    /// By the virtual time of the account (weighted fair queuing).
     fair,
+    /// First come, first served.
     arrival,
 };
 
 struct fair_queue_options
 {
     queue_order order = queue_order::fair;
-    /// How far an account with an urgent request may run ahead of its share.
+    /// Virtual time by which an account with an urgent request may exceed its
+    /// fair share.
     virtual_time urgent_credit{2000};
     /// Urgency levels up to this one count as urgent (0 is the most urgent).
-    std::uint8_t urgent_up_to = 1;
-    /// How far behind the other backlogged accounts service that was given
-    /// elsewhere, as in a partition, can put an account.
-    virtual_time catch_up_cap{50000};
-    /// Idle accounts beyond this number are forgotten, the oldest first.
+    std::uint8_t max_urgent_level = 1;
+    /// Largest lag, in virtual time, of a backlogged account behind the one
+    /// that is furthest ahead. Service imported from other schedulers, for
+    /// example after a partition, could otherwise cause any lag.
+    virtual_time max_lag{50000};
+    /// Number of accounts above which idle ones are evicted, least recently
+    /// used first.
     std::size_t max_accounts = 4096;
 };
 
-/// Queue of one shard. Choosing, adding and removing cost O(log accounts +
-/// log requests of the account).
+/// Queue of one shard. `push`, `front` and `remove` cost
+/// O(log accounts + log requests of the account).
 class fair_queue
 {
   public:
@@ -61,50 +71,56 @@
     void set_weight(account_id account, double weight);
     [[nodiscard]] double weight(account_id account) const;
 
-    /// Whether an account without waiting requests is lifted to the system
-    /// time when one comes: yes if it was idle in the whole fleet.
-    enum class return_from : std::uint8_t
+    /// State, before a push, of an account without requests in this queue. An
+    /// account that was idle in the whole fleet is raised to the system time;
+    /// one that is backlogged at another scheduler keeps its virtual time.
+    enum class prior_state : std::uint8_t
     {
-        idling,
-        waiting_elsewhere,
+        idle,
+        backlogged_elsewhere,
     };
 
-    /// Adds a request; returns false when it already waits.
+    /// Adds a request; returns false if it is queued already.
     bool push(const waiting_request& request,
-              return_from from = return_from::idling);
+              prior_state prior = prior_state::idle);
 
-    /// The request to serve next, or null when nothing waits.
+    /// The request to serve next, or null if the queue is empty.
     [[nodiscard]] const waiting_request* front() const;
 
-    /// First request, in the order of turns, that was not moved here from
-    /// another shard and whose account satisfies a condition.
+    /// First request in service order that was not moved here from another
+    /// shard and whose account satisfies `allowed`, or null.
     using account_condition = std::function<bool(account_id, virtual_time)>;
     [[nodiscard]] const waiting_request*
     first_movable(const account_condition& allowed) const;
 
-    /// Takes the id by value: callers pass the id of the request that goes.
+    /// Takes the id by value, because callers pass a reference into the request
+    /// that is destroyed.
     std::optional<waiting_request> remove(request_id id);
     [[nodiscard]] bool contains(const request_id& id) const;
 
     /// Adds service to an account; a negative amount corrects an estimate.
     void charge(account_id account, cost amount);
 
-    /// Adds service that another scheduler gave.
+    /// Adds service that another scheduler granted to the account. Does not
+    /// advance the system time.
     void import(account_id account, cost amount);
-    /// Lifts the backlogged accounts that are behind the foremost one by more
-    /// than the cap, and returns them.
+    /// Raises the backlogged accounts that lag more than `max_lag` behind the
+    /// one that is furthest ahead, and returns them.
     std::vector<account_id> limit_debt();
 
-    /// Lifts the system time to what other schedulers of the service serve, so
-    /// that an account does not gain by coming back at a quiet shard.
+    /// Raises the system time to the virtual time that other schedulers of the
+    /// service are serving, so that a returning account gains no advantage at a
+    /// lightly loaded shard.
     void raise_system_time(virtual_time to);
 
-    /// Takes over an account's virtual time from another scheduler.
+    /// Raises an account's virtual time to that of another scheduler.
     void adopt(account_id account, virtual_time at);
 
+    /// Virtual time of an account; the system time if it is unknown.
     [[nodiscard]] virtual_time at(account_id account) const;
-    /// Virtual time of the account whose turn is next; system time if none.
-    [[nodiscard]] virtual_time next() const;
+    /// Virtual time of the account that is served next; the system time if the
+    /// queue is empty.
+    [[nodiscard]] virtual_time next_virtual_time() const;
     [[nodiscard]] virtual_time system_time() const { return system_time_; }
 
     /// Requests that were moved here from other shards.
@@ -114,7 +130,10 @@
     [[nodiscard]] bool empty() const { return index_.empty(); }
     [[nodiscard]] std::size_t size_of(account_id account) const;
     [[nodiscard]] cost waiting_cost(account_id account) const;
-    [[nodiscard]] double backlogged_weight() const { return active_weight_; }
+    [[nodiscard]] double backlogged_weight() const
+    {
+        return backlogged_weight_;
+    }
     [[nodiscard]] std::vector<std::pair<account_id, virtual_time>>
     virtual_times() const;
     [[nodiscard]] std::vector<account_id> backlogged() const;
@@ -125,32 +144,38 @@
     void clear_requests();
 
   private:
+    /// Urgency and arrival number of a request within its account.
     using position = std::pair<std::uint8_t, std::uint64_t>;
-    using turn = std::pair<double, account_id>;
+    /// Sort key of a backlogged account; the lowest is served first.
+    using ranked_account = std::pair<double, account_id>;
 
     struct account_state
     {
         double weight = 1;
-        virtual_time at{0};
-        cost waiting{0};
+        /// Virtual time of the account, which is the start tag of its next
+        /// request.
+        virtual_time start_tag{0};
+        cost waiting_cost{0};
         std::map<position, waiting_request> requests;
-        std::optional<turn> turn_key;
+        /// Entry in `service_order_`; empty while no request is queued.
+        std::optional<ranked_account> service_rank;
+        /// Value of `sequence_` at the last use, for eviction.
         std::uint64_t last_used = 0;
     };
 
     account_state& state_of(account_id account);
     void reorder(account_id account, account_state& state);
-    [[nodiscard]] double turn_value(const account_state& state) const;
+    [[nodiscard]] double service_rank_of(const account_state& state) const;
     void forget_idle_accounts();
-    std::vector<account_id> lift_to(virtual_time least);
+    std::vector<account_id> raise_to(virtual_time least);
 
     fair_queue_options options_;
     std::unordered_map<account_id, account_state> accounts_;
-    std::set<turn> turns_;
+    std::set<ranked_account> service_order_;
     std::map<request_id, std::pair<account_id, position>> index_;
     std::set<std::pair<time_point, request_id>> deadlines_;
     virtual_time system_time_{0};
-    double active_weight_ = 0;
+    double backlogged_weight_ = 0;
     std::uint64_t sequence_ = 0;
 };
 
--- a/packages/core/include/sycamorelock/core/shard_directory.hpp
+++ b/packages/core/include/sycamorelock/core/shard_directory.hpp
@@ -1,5 +1,5 @@
-// Which shards a service has and who schedules each, for the settings and the
-// placement in force.
+// Maps services to their shards and shards to the instances that schedule them,
+// according to the current settings and placement.
 #pragma once
 
 #include "sycamorelock/core/placement.hpp"
@@ -7,31 +7,37 @@
 namespace sycamorelock::core
 {
 
-/// How scheduling is spread over the instances. All but `full` are baselines
-/// that the design is measured against.
+/// How scheduling is distributed over the instances. All modes but `full` are
+/// baselines for comparison.
 enum class scheduling_mode : std::uint8_t
 {
+    /// One scheduler per shard; the schedulers of a service exchange the
+    /// service that they grant and move requests between shards.
     full,
-    /// Each instance alone, with an equal part of every endpoint's slots.
+    /// Each instance schedules on its own, with an equal part of every
+    /// endpoint's slots.
     alone,
-    /// First come, first served under shared limits.
+    /// As `full`, but first come, first served; the limits stay shared.
     fcfs,
-    /// The design without exchange between schedulers.
+    /// As `full`, but without exchange between schedulers.
     no_exchange,
 };
 
 class shard_directory
 {
   public:
-    shard_directory(scheduling_mode mode, const placement& where);
+    shard_directory(scheduling_mode mode, const placement& instances);
 
-    void configure(const topology& tree);
+    void configure(const topology& config);
 
-    /// The shard at which a request of a service is queued: one of the own
-    /// failure domain if it has endpoints there.
+    /// The shard at which a request of a service is queued, or null if the
+    /// service has none. Shards in the local failure domain are preferred;
+    /// `spread` selects among equal candidates.
     [[nodiscard]] const shard_spec* home(service_id service,
                                          std::uint64_t spread) const;
+    /// The instance that schedules a shard, if there is one.
     [[nodiscard]] std::optional<instance_id> owner(const shard_id& shard);
+    /// Shards of a service; null if it is unknown.
     [[nodiscard]] const std::vector<shard_spec>*
     shards(service_id service) const;
     [[nodiscard]] const std::map<service_id, std::vector<shard_spec>>&
@@ -45,6 +51,7 @@
     scheduling_mode mode_;
     const placement& placement_;
     std::map<service_id, std::vector<shard_spec>> shards_;
+    /// Owners by the placement of generation `owners_generation_`.
     std::map<shard_id, std::optional<instance_id>> owners_;
     std::uint64_t owners_generation_ = 0;
 };
--- a/packages/core/lib/fair_queue.cpp
+++ b/packages/core/lib/fair_queue.cpp
@@ -1,5 +1,6 @@
-// Start-time fair queuing with late-bound costs: an account is charged when its
-// request gets a slot, and the charge is corrected as the true cost is seen.
+// Start-time fair queuing with late-bound costs: an account is charged the
+// estimated cost when its request gets a slot, and the charge is corrected once
+// the actual cost is known.
 #include "sycamorelock/core/fair_queue.hpp"
 
 #include <algorithm>
@@ -21,14 +22,14 @@
     if (accounts_.size() >= options_.max_accounts)
         forget_idle_accounts();
     account_state& state = accounts_[account];
-    state.at = system_time_;
+    state.start_tag = system_time_;
     state.last_used = ++sequence_;
     return state;
 }
 
 void fair_queue::forget_idle_accounts()
 {
-    // A tenth is dropped at a time, so that the sort is paid for rarely.
+    // Evicts a tenth of the idle accounts at a time, which amortizes the sort.
     std::vector<std::pair<std::uint64_t, account_id>> idle;
     for (const auto& [account, state] : accounts_)
     {
@@ -42,33 +43,34 @@
         accounts_.erase(idle[i].second);
 }
 
-double fair_queue::turn_value(const account_state& state) const
+double fair_queue::service_rank_of(const account_state& state) const
 {
-    assert(!state.requests.empty() && "an idle account has no turn");
+    assert(!state.requests.empty() && "an idle account has no service rank");
     const position& head = state.requests.begin()->first;
     if (options_.order == queue_order::arrival)
         return static_cast<double>(head.second);
-    const bool urgent = head.first <= options_.urgent_up_to;
-    return state.at.value() - (urgent ? options_.urgent_credit.value() : 0);
+    const bool urgent = head.first <= options_.max_urgent_level;
+    return state.start_tag.value() -
+           (urgent ? options_.urgent_credit.value() : 0);
 }
 
 void fair_queue::reorder(account_id account, account_state& state)
 {
-    if (state.turn_key)
-        turns_.erase(*state.turn_key);
-    state.turn_key.reset();
+    if (state.service_rank)
+        service_order_.erase(*state.service_rank);
+    state.service_rank.reset();
     if (state.requests.empty())
         return;
-    state.turn_key = turn{turn_value(state), account};
-    turns_.insert(*state.turn_key);
+    state.service_rank = ranked_account{service_rank_of(state), account};
+    service_order_.insert(*state.service_rank);
 }
 
 void fair_queue::set_weight(account_id account, double weight)
 {
-    assert(weight > 0 && "weights are checked by the settings package");
+    assert(weight > 0 && "the settings package validates weights");
     account_state& state = state_of(account);
     if (!state.requests.empty())
-        active_weight_ += weight - state.weight;
+        backlogged_weight_ += weight - state.weight;
     state.weight = weight;
 }
 
@@ -78,26 +80,26 @@
     return found == accounts_.end() ? 1 : found->second.weight;
 }
 
-bool fair_queue::push(const waiting_request& request, return_from from)
+bool fair_queue::push(const waiting_request& request, prior_state prior)
 {
     if (index_.contains(request.id))
         return false;
     account_state& state = state_of(request.account);
     if (state.requests.empty())
     {
-        // An account that comes back from idling starts level with the
-        // backlogged ones: idling earns no credit.
-        if (from == return_from::idling)
-            state.at = std::max(state.at, system_time_);
-        active_weight_ += state.weight;
+        // An idle account earns no credit: on its return it starts at the
+        // system time, level with the backlogged accounts.
+        if (prior == prior_state::idle)
+            state.start_tag = std::max(state.start_tag, system_time_);
+        backlogged_weight_ += state.weight;
     }
-    // With arrival order urgency is ignored, also within an account.
+    // Arrival order ignores urgency, also within an account.
     const std::uint8_t level =
         options_.order == queue_order::fair ? request.urgency : 0;
-    const position where{level, ++sequence_};
-    state.requests.emplace(where, request);
-    state.waiting += request.estimate;
-    index_.emplace(request.id, std::make_pair(request.account, where));
+    const position place{level, ++sequence_};
+    state.requests.emplace(place, request);
+    state.waiting_cost += request.estimate;
+    index_.emplace(request.id, std::make_pair(request.account, place));
     deadlines_.emplace(request.deadline, request.id);
     reorder(request.account, state);
     return true;
@@ -105,21 +107,21 @@
 
 const waiting_request* fair_queue::front() const
 {
-    if (turns_.empty())
+    if (service_order_.empty())
         return nullptr;
-    const account_state& state = accounts_.at(turns_.begin()->second);
+    const account_state& state = accounts_.at(service_order_.begin()->second);
     return &state.requests.begin()->second;
 }
 
 const waiting_request*
 fair_queue::first_movable(const account_condition& allowed) const
 {
-    for (const turn& next : turns_)
+    for (const ranked_account& next : service_order_)
     {
         const account_state& state = accounts_.at(next.second);
-        if (!allowed(next.second, state.at))
+        if (!allowed(next.second, state.start_tag))
             continue;
-        for (const auto& [where, request] : state.requests)
+        for (const auto& [place, request] : state.requests)
         {
             if (request.moved)
                 continue;
@@ -134,16 +136,17 @@
     const auto found = index_.find(id);
     if (found == index_.end())
         return std::nullopt;
-    const auto [account, where] = found->second;
+    const auto [account, place] = found->second;
     account_state& state = accounts_.at(account);
-    const auto entry = state.requests.find(where);
+    const auto entry = state.requests.find(place);
     const waiting_request request = entry->second;
     state.requests.erase(entry);
-    state.waiting = state.waiting - request.estimate;
+    state.waiting_cost = state.waiting_cost - request.estimate;
     index_.erase(found);
     deadlines_.erase({request.deadline, id});
     if (state.requests.empty())
-        active_weight_ = turns_.size() == 1 ? 0 : active_weight_ - state.weight;
+        backlogged_weight_ =
+            service_order_.size() == 1 ? 0 : backlogged_weight_ - state.weight;
     reorder(account, state);
     return request;
 }
@@ -156,12 +159,13 @@
 void fair_queue::charge(account_id account, cost amount)
 {
     account_state& state = state_of(account);
-    // The system time follows the account that is being served, and never goes
-    // back when an estimate is corrected downwards.
+    // The system time follows the virtual time of the account being served. It
+    // never decreases, even if an estimate is corrected downwards.
     if (amount.value() > 0)
-        system_time_ = std::max(system_time_, std::min(state.at, next()));
+        system_time_ = std::max(system_time_,
+                                std::min(state.start_tag, next_virtual_time()));
     const double shift = static_cast<double>(amount.value()) / state.weight;
-    state.at += virtual_time(shift);
+    state.start_tag += virtual_time(shift);
     reorder(account, state);
 }
 
@@ -169,36 +173,37 @@
 {
     account_state& state = state_of(account);
     const double shift = static_cast<double>(amount.value()) / state.weight;
-    state.at += virtual_time(shift);
+    state.start_tag += virtual_time(shift);
     reorder(account, state);
 }
 
 std::vector<account_id> fair_queue::limit_debt()
 {
-    virtual_time most = system_time_;
-    for (const turn& each : turns_)
-        most = std::max(most, accounts_.at(each.second).at);
-    return lift_to(most - options_.catch_up_cap);
+    virtual_time highest = system_time_;
+    for (const ranked_account& each : service_order_)
+        highest = std::max(highest, accounts_.at(each.second).start_tag);
+    return raise_to(highest - options_.max_lag);
 }
 
-std::vector<account_id> fair_queue::lift_to(virtual_time least)
+std::vector<account_id> fair_queue::raise_to(virtual_time least)
 {
     if (least <= system_time_)
         return {};
-    // The debt beyond the cap is forgiven by lifting the others: virtual time
-    // that only grows can be merged between schedulers in any order.
+    // Lag beyond the limit is cancelled by raising the lagging accounts instead
+    // of lowering the leading one: virtual times that only grow can be merged
+    // between schedulers in any order.
     system_time_ = least;
-    std::vector<account_id> lifted;
+    std::vector<account_id> raised;
     for (const account_id account : backlogged())
     {
         account_state& state = accounts_.at(account);
-        if (state.at >= least)
+        if (state.start_tag >= least)
             continue;
-        state.at = least;
+        state.start_tag = least;
         reorder(account, state);
-        lifted.push_back(account);
+        raised.push_back(account);
     }
-    return lifted;
+    return raised;
 }
 
 void fair_queue::raise_system_time(virtual_time to)
@@ -209,21 +214,21 @@
 void fair_queue::adopt(account_id account, virtual_time at)
 {
     account_state& state = state_of(account);
-    state.at = std::max(state.at, at);
+    state.start_tag = std::max(state.start_tag, at);
     reorder(account, state);
 }
 
 virtual_time fair_queue::at(account_id account) const
 {
     const auto found = accounts_.find(account);
-    return found == accounts_.end() ? system_time_ : found->second.at;
+    return found == accounts_.end() ? system_time_ : found->second.start_tag;
 }
 
-virtual_time fair_queue::next() const
+virtual_time fair_queue::next_virtual_time() const
 {
-    if (turns_.empty())
+    if (service_order_.empty())
         return system_time_;
-    return accounts_.at(turns_.begin()->second).at;
+    return accounts_.at(service_order_.begin()->second).start_tag;
 }
 
 std::size_t fair_queue::size_of(account_id account) const
@@ -235,7 +240,7 @@
 cost fair_queue::waiting_cost(account_id account) const
 {
     const auto found = accounts_.find(account);
-    return found == accounts_.end() ? cost{0} : found->second.waiting;
+    return found == accounts_.end() ? cost{0} : found->second.waiting_cost;
 }
 
 std::vector<std::pair<account_id, virtual_time>>
@@ -244,15 +249,15 @@
     std::vector<std::pair<account_id, virtual_time>> result;
     result.reserve(accounts_.size());
     for (const auto& [account, state] : accounts_)
-        result.emplace_back(account, state.at);
+        result.emplace_back(account, state.start_tag);
     return result;
 }
 
 std::vector<account_id> fair_queue::backlogged() const
 {
     std::vector<account_id> result;
-    result.reserve(turns_.size());
-    for (const turn& each : turns_)
+    result.reserve(service_order_.size());
+    for (const ranked_account& each : service_order_)
         result.push_back(each.second);
     return result;
 }
@@ -260,9 +265,9 @@
 std::vector<waiting_request> fair_queue::moved_here() const
 {
     std::vector<waiting_request> result;
-    for (const turn& each : turns_)
+    for (const ranked_account& each : service_order_)
     {
-        for (const auto& [where, request] : accounts_.at(each.second).requests)
+        for (const auto& [place, request] : accounts_.at(each.second).requests)
         {
             if (request.moved)
                 result.push_back(request);
--- a/packages/core/lib/shard_directory.cpp
+++ b/packages/core/lib/shard_directory.cpp
@@ -1,30 +1,33 @@
-// Shards and their owners, cached until the placement changes.
+// Looks up shards and their owners. Owners are cached until the placement
+// changes.
 #include "sycamorelock/core/shard_directory.hpp"
 
 namespace sycamorelock::core
 {
 
-shard_directory::shard_directory(scheduling_mode mode, const placement& where)
-    : mode_(mode), placement_(where)
+shard_directory::shard_directory(scheduling_mode mode,
+                                 const placement& instances)
+    : mode_(mode), placement_(instances)
 {
 }
 
-void shard_directory::configure(const topology& tree)
+void shard_directory::configure(const topology& config)
 {
     shards_.clear();
     owners_.clear();
-    for (const auto& [id, service] : tree.services)
+    for (const auto& [id, service] : config.services)
     {
         if (mode_ != scheduling_mode::alone)
         {
             shards_[id] = shards_of(service);
             continue;
         }
-        // Every instance alone schedules all endpoints of the service.
-        shard_spec whole;
-        whole.id = {id, placement_.domain(), 0};
-        whole.endpoints = service.endpoints;
-        shards_[id].push_back(std::move(whole));
+        // Each instance schedules all endpoints of the service itself, as one
+        // shard.
+        shard_spec shard;
+        shard.id = {id, placement_.domain(), 0};
+        shard.endpoints = service.endpoints;
+        shards_[id].push_back(std::move(shard));
     }
 }
 
@@ -34,14 +37,14 @@
     const auto* all = shards(service);
     if (all == nullptr || all->empty())
         return nullptr;
-    std::vector<const shard_spec*> near;
+    std::vector<const shard_spec*> local;
     for (const shard_spec& shard : *all)
     {
         if (shard.id.domain == placement_.domain())
-            near.push_back(&shard);
+            local.push_back(&shard);
     }
-    if (!near.empty())
-        return near[spread % near.size()];
+    if (!local.empty())
+        return local[spread % local.size()];
     return &(*all)[spread % all->size()];
 }
 
@@ -54,9 +57,9 @@
         owners_.clear();
         owners_generation_ = placement_.generation();
     }
-    const auto known = owners_.find(shard);
-    if (known != owners_.end())
-        return known->second;
+    const auto cached = owners_.find(shard);
+    if (cached != owners_.end())
+        return cached->second;
     const auto owner = placement_.owner_of(shard);
     owners_.emplace(shard, owner);
     return owner;
--- a/packages/core/lib/shard_moves.cpp
+++ b/packages/core/lib/shard_moves.cpp
@@ -102,8 +102,8 @@
         (request.moved || request.requeued || moved_cost_.contains(account) ||
          exchange_.waits_elsewhere(now, account));
     const virtual_time before = queue_.at(account);
-    queue_.push(request, busy ? fair_queue::return_from::waiting_elsewhere
-                              : fair_queue::return_from::idling);
+    queue_.push(request, busy ? fair_queue::prior_state::backlogged_elsewhere
+                              : fair_queue::prior_state::idle);
     const virtual_time after = queue_.at(account);
     if (after > before)
         exchange_.note_lift(account);
@@ -294,7 +294,7 @@
     message.shard = id_;
     message.wanted = want;
     message.backlog = static_cast<std::uint32_t>(queue_.size());
-    message.next = queue_.next();
+    message.next = queue_.next_virtual_time();
     for (const instance_id owner : exchange_.receivers())
         out_.send(owner, message);
 }
--- a/packages/core/unittests/fair_queue_test.cpp
+++ b/packages/core/unittests/fair_queue_test.cpp
@@ -97,7 +97,7 @@
 Test(fair_queue, imported_service_is_capped_so_that_nobody_starves)
 {
     fair_queue_options options;
-    options.catch_up_cap = virtual_time(1000);
+    options.max_lag = virtual_time(1000);
     fair_queue queue(options);
     for (std::uint64_t i = 0; i < 100; ++i)
         queue.push(make(i % 2 == 0 ? large : small, i));
