--- a/packages/core/include/sycamorelock/core/fair_queue.hpp
+++ b/packages/core/include/sycamorelock/core/fair_queue.hpp
@@ -87,14 +87,15 @@
     /// The request to serve next, or null if the queue is empty.
     [[nodiscard]] const waiting_request* front() const;
 
+    /// Predicate on an account and its virtual time.
+    using account_condition = std::function<bool(account_id, virtual_time)>;
     /// First request in service order that was not moved here from another
     /// shard and whose account satisfies `allowed`, or null.
-    using account_condition = std::function<bool(account_id, virtual_time)>;
     [[nodiscard]] const waiting_request*
     first_movable(const account_condition& allowed) const;
 
-    /// Takes the id by value, because callers pass a reference into the request
-    /// that is destroyed.
+    /// Removes and returns a request, if it is queued. Takes the id by value,
+    /// because callers pass the id of the very request that is destroyed.
     std::optional<waiting_request> remove(request_id id);
     [[nodiscard]] bool contains(const request_id& id) const;
 
@@ -166,7 +167,7 @@
     account_state& state_of(account_id account);
     void reorder(account_id account, account_state& state);
     [[nodiscard]] double service_rank_of(const account_state& state) const;
-    void forget_idle_accounts();
+    void evict_idle_accounts();
     std::vector<account_id> raise_to(virtual_time least);
 
     fair_queue_options options_;
--- a/packages/core/include/sycamorelock/core/shard_directory.hpp
+++ b/packages/core/include/sycamorelock/core/shard_directory.hpp
@@ -11,13 +11,14 @@
 /// baselines for comparison.
 enum class scheduling_mode : std::uint8_t
 {
-    /// One scheduler per shard; the schedulers of a service exchange the
-    /// service that they grant and move requests between shards.
+    /// Each shard has one scheduler with a fair queue. The schedulers of a
+    /// service exchange the service that they grant to each account.
     full,
     /// Each instance schedules on its own, with an equal part of every
     /// endpoint's slots.
     alone,
-    /// As `full`, but first come, first served; the limits stay shared.
+    /// One scheduler per shard, so that limits are shared, but first come,
+    /// first served and without exchange.
     fcfs,
     /// As `full`, but without exchange between schedulers.
     no_exchange,
@@ -32,9 +33,9 @@
 
     /// The shard at which a request of a service is queued, or null if the
     /// service has none. Shards in the local failure domain are preferred;
-    /// `spread` selects among equal candidates.
+    /// `request_number` spreads requests over equal candidates.
     [[nodiscard]] const shard_spec* home(service_id service,
-                                         std::uint64_t spread) const;
+                                         std::uint64_t request_number) const;
     /// The instance that schedules a shard, if there is one.
     [[nodiscard]] std::optional<instance_id> owner(const shard_id& shard);
     /// Shards of a service; null if it is unknown.
--- a/packages/core/include/sycamorelock/core/shard_scheduler.hpp
+++ b/packages/core/include/sycamorelock/core/shard_scheduler.hpp
@@ -1,5 +1,6 @@
-// Scheduler of one shard: grants slots in fair order, moves work to other
-// shards of the service, and exchanges per-account service with them.
+// Scheduler of one shard: grants slots in fair order, moves queued requests to
+// other shards of the service, and exchanges with them the service granted per
+// account.
 #pragma once
 
 #include "sycamorelock/core/endpoint_pool.hpp"
@@ -16,17 +17,24 @@
 {
     fair_queue_options queue;
     endpoint_pool_options endpoints;
-    duration lease = std::chrono::seconds(5);
-    /// Wait of a new owner for reports of what already runs.
-    duration settle = std::chrono::milliseconds(500);
+    /// Time after which a lease that its entry did not renew expires.
+    duration lease_duration = std::chrono::seconds(5);
+    /// Time for which a new owner grants nothing, while entries report the
+    /// requests that already hold slots of the shard.
+    duration takeover_delay = std::chrono::milliseconds(500);
+    /// Period of adverts while requests are queued here or at a peer.
     duration advert_period = std::chrono::seconds(1);
+    /// Minimum time between two adverts.
     duration advert_min_gap = std::chrono::milliseconds(20);
     exchange_options exchange;
-    /// Virtual time by which a peer must be ahead before work moves to it for
-    /// fairness alone.
+    /// Virtual time by which an account must lag behind a peer before its
+    /// requests move to that peer for fairness alone.
     virtual_time move_margin{500};
-    std::uint32_t move_burst = 64;
-    duration moved_for = std::chrono::seconds(2);
+    /// Requests that may move to a peer for fairness per advert of that peer.
+    std::uint32_t max_moves_per_advert = 64;
+    /// Time for which a moved request is remembered: its cost counts towards
+    /// the account, and its entry cannot queue it here again.
+    duration moved_retention = std::chrono::seconds(2);
 };
 
 class shard_scheduler
@@ -35,11 +43,13 @@
     shard_scheduler(shard_id id, scheduler_options options, std::uint64_t seed,
                     time_point now, outbox& out);
 
+    /// Applies new settings. The slots of each endpoint are divided by
+    /// `divide_slots`, the number of instances that schedule independently.
     void configure(const service_spec& service, const shard_spec& shard,
                    const std::map<account_id, account_spec>& accounts,
                    const std::vector<endpoint_id>& leaving,
                    std::uint32_t divide_slots);
-    /// Owners of the other shards of the service.
+    /// Sets the owners of the other shards of the service.
     void set_peers(time_point now, std::map<shard_id, instance_id> peers);
 
     void on_message(time_point now, instance_id from, const enqueue& message);
@@ -58,14 +68,16 @@
                  const load_report& report);
     void tick(time_point now);
 
-    /// Gives waiting requests back before the shard moves to another owner.
+    /// Drops all queued requests. Used after the instance was suspended, when
+    /// entries have queued them elsewhere.
     void abandon();
-    /// Tells the service given here, and passes on what other shards moved
-    /// here, before this shard gets another owner. What entries sent here they
-    /// send to the next owner themselves.
+    /// Reports the service granted here and forwards the requests that other
+    /// shards moved here, before the shard passes to another owner. Entries
+    /// resend their own requests to the next owner.
     void hand_over(time_point now, std::map<shard_id, instance_id> owners);
 
     [[nodiscard]] shard_id id() const { return id_; }
+    /// Number of queued requests.
     [[nodiscard]] std::size_t backlog() const { return queue_.size(); }
     [[nodiscard]] std::uint32_t used_slots() const
     {
@@ -78,30 +90,40 @@
     [[nodiscard]] const fair_queue& queue() const { return queue_; }
 
   private:
+    /// A slot held by a request, until it is released or not renewed in time.
     struct lease
     {
         std::uint32_t attempt = 0;
         instance_id entry;
         account_id account;
         endpoint_id endpoint;
+        /// Cost that the account has been charged so far.
         cost charged;
         time_point expires;
     };
+    /// State of another shard of the service, from the last advert of its
+    /// owner.
     struct peer_view
     {
         instance_id owner;
-        /// Owner by the placement, which may be older than `owner`.
+        /// Owner according to the placement; `owner` may be more recent,
+        /// because it is also taken from adverts.
         instance_id placed_owner;
-        std::uint32_t wanted = 0;
+        /// Requests that the peer can still accept.
+        std::uint32_t demand = 0;
         std::uint32_t backlog = 0;
-        std::uint32_t moves_left = 0;
-        virtual_time next;
-        time_point at;
-        bool known = false;
+        /// Moves for fairness that are left until the next advert.
+        std::uint32_t remaining_moves = 0;
+        /// Virtual time of the account that the peer serves next.
+        virtual_time next_virtual_time;
+        /// When the last advert arrived.
+        time_point advert_time;
+        bool has_advert = false;
 
-        /// It said recently that requests wait there.
+        /// Whether a recent advert reported queued requests.
         [[nodiscard]] bool has_backlog(time_point now) const;
     };
+    /// A request that was moved from here to another shard.
     struct moved_request
     {
         time_point until;
@@ -109,39 +131,59 @@
         cost estimate;
     };
 
+    /// Grants free slots, then moves requests and advertises as needed.
     void serve(time_point now);
-    void give(time_point now, endpoint_id endpoint);
+    /// Grants a slot of an endpoint to the request that is served next.
+    void grant_next(time_point now, endpoint_id endpoint);
     void send_grant(const request_id& id, const lease& held);
     void end_lease(time_point now, std::map<request_id, lease>::iterator held,
                    attempt_outcome outcome, duration token_delay);
-    void account_for(account_id account, cost amount);
-    bool refused(time_point now, instance_id from, const enqueue& message);
+    /// Charges the account in the queue and in the exchange.
+    void charge_account(account_id account, cost amount);
+    /// Rejects a request that no endpoint can serve, that exceeds a queue
+    /// limit, or whose predicted wait exceeds its deadline; returns whether it
+    /// did.
+    bool reject_if_unservable(time_point now, instance_id from,
+                              const enqueue& message);
     void send_reject(instance_id to, const enqueue& message,
                      refusal_reason reason, duration wait);
-    void note_rate(time_point now);
+    /// Updates `rate_` at the end of each measurement window.
+    void update_rate(time_point now);
     [[nodiscard]] duration predicted_wait(account_id account) const;
     void expire_leases(time_point now);
     void move_work(time_point now);
     void move_to(time_point now, const shard_id& shard, peer_view& peer,
                  const waiting_request& request);
-    /// A waiting request as another shard gets it.
-    [[nodiscard]] enqueue as_moved(time_point now, const shard_id& shard,
-                                   const waiting_request& request);
+    /// Builds the message that moves a queued request to a shard.
+    [[nodiscard]] enqueue make_move_message(time_point now,
+                                            const shard_id& shard,
+                                            const waiting_request& request);
+    /// Sends an advert if the state has changed or, if `due`, as the periodic
+    /// one.
     void advertise(time_point now, bool due);
     [[nodiscard]] bool peers_have_backlog(time_point now) const;
-    [[nodiscard]] virtual_time with_moved(account_id account,
-                                          virtual_time at) const;
+    /// Virtual time of an account including the cost of requests moved away.
+    [[nodiscard]] virtual_time with_moved_cost(account_id account,
+                                               virtual_time at) const;
     void forget_moved(const request_id& id);
     void expire_moved(time_point now);
-    /// Waiting requests below which a slot may idle while others send work.
-    [[nodiscard]] std::uint32_t low_water() const;
-    [[nodiscard]] std::uint32_t wanted() const;
-    void follow_peers(time_point now);
+    /// Number of queued requests that is kept, so that no slot idles while
+    /// peers send more.
+    [[nodiscard]] std::uint32_t low_watermark() const;
+    /// Number of requests that this shard accepts from its peers.
+    [[nodiscard]] std::uint32_t request_demand() const;
+    /// Raises the system time of an empty queue to the lowest virtual time that
+    /// a backlogged peer serves next.
+    void raise_to_peers(time_point now);
     /// Whether a request of the account holds a slot here.
-    [[nodiscard]] bool is_served(account_id account) const;
-    void enqueue_fairly(time_point now, const waiting_request& request);
+    [[nodiscard]] bool holds_slot(account_id account) const;
+    /// Queues a request. The account is raised to the system time only if it
+    /// was idle in the whole fleet.
+    void push_request(time_point now, const waiting_request& request);
+    /// Resets the state of a peer whose shard has a new owner.
     void replace_owner(time_point now, peer_view& view, instance_id owner);
-    void follow_owners(time_point now);
+    /// Passes the owners of the peers to the exchange.
+    void update_exchange_owners(time_point now);
 
     shard_id id_;
     scheduler_options options_;
@@ -154,22 +196,24 @@
     std::size_t max_queue_per_account_ = 0;
     std::map<request_id, lease> leases_;
     std::map<request_id, moved_request> moved_;
-    /// Cost of moved requests that the peers' reports may not show yet.
+    /// Cost of moved requests that reports of the peers may not include yet.
     std::map<account_id, cost> moved_cost_;
+    /// Latest clock received from each entry, echoed in grants.
     std::map<instance_id, std::chrono::milliseconds> entry_clocks_;
     std::map<shard_id, peer_view> peers_;
     time_point granting_from_;
     time_point next_advert_;
-    time_point advert_allowed_;
-    std::uint32_t advertised_wanted_ = 0;
+    time_point earliest_advert_;
+    std::uint32_t advertised_demand_ = 0;
     bool advertised_backlog_ = false;
+    /// Cost of the requests that were released in the current window.
     double served_in_window_ = 0;
-    /// Slots were free within the window, so what was served in it tells less
-    /// than what could have been.
-    bool slack_in_window_ = false;
-    /// Cost a second that the endpoints serve when all slots are taken.
+    /// Whether free slots exceeded the backlog within the window, so that the
+    /// cost served in it is only a lower bound of the capacity.
+    bool idle_slots_in_window_ = false;
+    /// Cost per second that the endpoints serve when all slots are in use.
     double rate_ = 0;
-    time_point window_from_;
+    time_point window_start_;
 };
 
 } // namespace sycamorelock::core
--- a/packages/core/lib/fair_queue.cpp
+++ b/packages/core/lib/fair_queue.cpp
@@ -20,14 +20,14 @@
         return found->second;
     }
     if (accounts_.size() >= options_.max_accounts)
-        forget_idle_accounts();
+        evict_idle_accounts();
     account_state& state = accounts_[account];
     state.start_tag = system_time_;
     state.last_used = ++sequence_;
     return state;
 }
 
-void fair_queue::forget_idle_accounts()
+void fair_queue::evict_idle_accounts()
 {
     // Evicts a tenth of the idle accounts at a time, which amortizes the sort.
     std::vector<std::pair<std::uint64_t, account_id>> idle;
--- a/packages/core/lib/shard_directory.cpp
+++ b/packages/core/lib/shard_directory.cpp
@@ -32,7 +32,7 @@
 }
 
 const shard_spec* shard_directory::home(service_id service,
-                                        std::uint64_t spread) const
+                                        std::uint64_t request_number) const
 {
     const auto* all = shards(service);
     if (all == nullptr || all->empty())
@@ -44,8 +44,8 @@
             local.push_back(&shard);
     }
     if (!local.empty())
-        return local[spread % local.size()];
-    return &(*all)[spread % all->size()];
+        return local[request_number % local.size()];
+    return &(*all)[request_number % all->size()];
 }
 
 std::optional<instance_id> shard_directory::owner(const shard_id& shard)
--- a/packages/core/lib/shard_moves.cpp
+++ b/packages/core/lib/shard_moves.cpp
@@ -1,6 +1,7 @@
 // Adverts of free slots and backlog between the schedulers of a service, and
-// the work that moves because of them: no slot idles while work waits
-// elsewhere, and accounts are served where they are furthest behind.
+// the requests that move because of them: no slot idles while requests are
+// queued at another shard, and a lagging account is served at the shard where
+// it lags most.
 #include "sycamorelock/core/shard_scheduler.hpp"
 
 #include <algorithm>
@@ -11,16 +12,17 @@
 namespace
 {
 
-/// Age after which an advert says nothing any more.
+/// Age at which an advert becomes stale and is ignored.
 constexpr duration advert_lifetime = std::chrono::seconds(3);
-/// Silence of an owner after which another instance's advert is believed.
-constexpr duration owner_silence = std::chrono::milliseconds(1500);
+/// Time without an advert from the known owner after which an advert from
+/// another instance is accepted as coming from the new owner.
+constexpr duration owner_timeout = std::chrono::milliseconds(1500);
 
 } // namespace
 
 bool shard_scheduler::peer_view::has_backlog(time_point now) const
 {
-    return known && now - at < advert_lifetime && backlog > 0;
+    return has_advert && now - advert_time < advert_lifetime && backlog > 0;
 }
 
 void shard_scheduler::set_peers(time_point now,
@@ -37,14 +39,14 @@
         if (view.owner != owner)
             replace_owner(now, view, owner);
     }
-    follow_owners(now);
+    update_exchange_owners(now);
 }
 
 void shard_scheduler::replace_owner(time_point now, peer_view& view,
                                     instance_id owner)
 {
-    // A new owner says anew what it has, and learns at once where there is
-    // work and room.
+    // State of the old owner does not apply to the new one. The immediate
+    // advert informs the new owner of the backlog and free slots here.
     const instance_id placed_owner = view.placed_owner;
     view = {};
     view.owner = owner;
@@ -52,7 +54,7 @@
     next_advert_ = now;
 }
 
-void shard_scheduler::follow_owners(time_point now)
+void shard_scheduler::update_exchange_owners(time_point now)
 {
     std::map<shard_id, instance_id> owners;
     for (const auto& [shard, peer] : peers_)
@@ -60,50 +62,53 @@
     exchange_.set_owners(now, std::move(owners));
 }
 
-void shard_scheduler::follow_peers(time_point now)
+void shard_scheduler::raise_to_peers(time_point now)
 {
     if (!options_.exchange.enabled)
         return;
-    // An account that comes back starts level with those that wait anywhere.
-    const virtual_time* least = nullptr;
+    // A returning account starts level with the accounts that are backlogged at
+    // any shard.
+    const virtual_time* lowest = nullptr;
     for (const auto& [shard, peer] : peers_)
     {
         if (!peer.has_backlog(now))
             continue;
-        if (least == nullptr || peer.next < *least)
-            least = &peer.next;
+        if (lowest == nullptr || peer.next_virtual_time < *lowest)
+            lowest = &peer.next_virtual_time;
     }
-    if (least == nullptr || !queue_.empty())
+    if (lowest == nullptr || !queue_.empty())
         return;
-    queue_.raise_system_time(*least);
+    queue_.raise_system_time(*lowest);
 }
 
-bool shard_scheduler::is_served(account_id account) const
+bool shard_scheduler::holds_slot(account_id account) const
 {
     return std::any_of(leases_.begin(), leases_.end(),
                        [account](const auto& l)
                        { return l.second.account == account; });
 }
 
-void shard_scheduler::enqueue_fairly(time_point now,
-                                     const waiting_request& request)
+void shard_scheduler::push_request(time_point now,
+                                   const waiting_request& request)
 {
     const account_id account = request.account;
-    // While what peers served is not counted yet, an account that is served
-    // here only looks as if it were behind theirs.
-    const bool comparable = !exchange_.resyncing() || !is_served(account);
+    // During a resync, service granted by peers is not counted yet, so the
+    // virtual times of peers and of an account that holds a slot here are not
+    // comparable: the account only appears to lag.
+    const bool comparable = !exchange_.resyncing() || !holds_slot(account);
     if (queue_.size_of(account) == 0 && comparable)
-        follow_peers(now);
-    // Being out of work here is not idling while requests wait elsewhere: a
-    // lift would forgive what the fleet owes the account.
-    // What was moved from here waits at a peer before its reports say so.
-    const bool busy =
+        raise_to_peers(now);
+    // An account without requests here is not idle while it has requests queued
+    // at another shard: raising it would cancel its lag. Requests moved from
+    // here are queued at a peer before the reports of the peer show them.
+    const bool backlogged_elsewhere =
         options_.exchange.enabled &&
         (request.moved || request.requeued || moved_cost_.contains(account) ||
          exchange_.waits_elsewhere(now, account));
     const virtual_time before = queue_.at(account);
-    queue_.push(request, busy ? fair_queue::prior_state::backlogged_elsewhere
-                              : fair_queue::prior_state::idle);
+    queue_.push(request, backlogged_elsewhere
+                             ? fair_queue::prior_state::backlogged_elsewhere
+                             : fair_queue::prior_state::idle);
     const virtual_time after = queue_.at(account);
     if (after > before)
         exchange_.note_lift(account);
@@ -118,27 +123,28 @@
     peer_view& peer = found->second;
     if (peer.owner != from)
     {
-        // Its own failure domain suspects a dead owner earlier than others do,
-        // so the word of the next one is taken once the old one is silent.
-        if (peer.known && now - peer.at <= owner_silence)
+        // The failure domain of a dead owner suspects it earlier than other
+        // domains do, so an advert of the next owner can precede the change of
+        // the placement here. It is accepted once the old owner has timed out.
+        if (peer.has_advert && now - peer.advert_time <= owner_timeout)
             return;
         replace_owner(now, peer, from);
-        follow_owners(now);
+        update_exchange_owners(now);
     }
-    peer.wanted = message.wanted;
+    peer.demand = message.wanted;
     peer.backlog = message.backlog;
-    peer.next = message.next;
-    peer.moves_left = options_.move_burst;
-    peer.at = now;
-    peer.known = true;
+    peer.next_virtual_time = message.next;
+    peer.remaining_moves = options_.max_moves_per_advert;
+    peer.advert_time = now;
+    peer.has_advert = true;
     move_work(now);
-    // Tell at once a peer with backlog that there is room here.
-    if (peer.backlog > 0 && wanted() > 0 && advertised_wanted_ == 0)
+    // Advertise free capacity to a backlogged peer at once.
+    if (peer.backlog > 0 && request_demand() > 0 && advertised_demand_ == 0)
         advertise(now, true);
 }
 
-virtual_time shard_scheduler::with_moved(account_id account,
-                                         virtual_time at) const
+virtual_time shard_scheduler::with_moved_cost(account_id account,
+                                              virtual_time at) const
 {
     const auto found = moved_cost_.find(account);
     if (found == moved_cost_.end())
@@ -175,36 +181,41 @@
 {
     for (auto& [shard, peer] : peers_)
     {
-        if (!peer.known || now - peer.at > advert_lifetime)
+        if (!peer.has_advert || now - peer.advert_time > advert_lifetime)
             continue;
-        while (peer.wanted > 0 && queue_.size() > low_water())
+        while (peer.demand > 0 && queue_.size() > low_watermark())
         {
             const waiting_request* next = queue_.first_movable(
                 [](account_id, virtual_time) { return true; });
             if (next == nullptr)
                 return;
-            --peer.wanted;
+            --peer.demand;
             move_to(now, shard, peer, *next);
         }
-        // An account that is behind what the peer serves next moves there. What
-        // was moved already counts, or all its requests would go at once.
-        const virtual_time ahead = peer.next;
-        const auto behind = [&, ahead](account_id account, virtual_time at)
-        { return with_moved(account, at) + options_.move_margin < ahead; };
+        // Requests of an account that lags behind the peer's next virtual time
+        // move there. The cost of requests already moved is included; otherwise
+        // all requests of the account would move at once.
+        const virtual_time peer_time = peer.next_virtual_time;
+        const auto lagging = [&, peer_time](account_id account, virtual_time at)
+        {
+            return with_moved_cost(account, at) + options_.move_margin <
+                   peer_time;
+        };
         while (options_.exchange.enabled && peer.backlog > 0 &&
-               peer.moves_left > 0)
+               peer.remaining_moves > 0)
         {
-            const waiting_request* next = queue_.first_movable(behind);
+            const waiting_request* next = queue_.first_movable(lagging);
             if (next == nullptr)
                 break;
-            --peer.moves_left;
+            --peer.remaining_moves;
             move_to(now, shard, peer, *next);
         }
     }
 }
 
-enqueue shard_scheduler::as_moved(time_point now, const shard_id& shard,
-                                  const waiting_request& request)
+enqueue shard_scheduler::make_move_message(time_point now,
+                                           const shard_id& shard,
+                                           const waiting_request& request)
 {
     enqueue message;
     message.request = request.id;
@@ -229,7 +240,7 @@
     if (next != owners.end())
     {
         for (const waiting_request& request : queue_.moved_here())
-            out_.send(next->second, as_moved(now, id_, request));
+            out_.send(next->second, make_move_message(now, id_, request));
     }
     exchange_.hand_over(std::move(owners));
 }
@@ -237,29 +248,30 @@
 void shard_scheduler::move_to(time_point now, const shard_id& shard,
                               peer_view& peer, const waiting_request& request)
 {
-    enqueue message = as_moved(now, shard, request);
+    enqueue message = make_move_message(now, shard, request);
     forget_moved(request.id);
-    moved_[request.id] = {now + options_.moved_for, request.account,
+    moved_[request.id] = {now + options_.moved_retention, request.account,
                           request.estimate};
     moved_cost_[request.account] += request.estimate;
     queue_.remove(request.id);
     out_.send(peer.owner, message);
 }
 
-std::uint32_t shard_scheduler::low_water() const
+std::uint32_t shard_scheduler::low_watermark() const
 {
     return pool_.usable_slots() / 4;
 }
 
-std::uint32_t shard_scheduler::wanted() const
+std::uint32_t shard_scheduler::request_demand() const
 {
-    // Some requests are kept in stock, because one that is asked for when a
-    // slot is free already arrives a round trip too late.
+    // A reserve of queued requests is kept, because a request that is moved
+    // here only once a slot is free arrives a round trip too late.
     const auto backlog = static_cast<std::uint32_t>(queue_.size());
-    const std::uint32_t stock = low_water();
-    // Asking only at half of it fills the stock in one go.
-    const bool low = backlog <= stock / 2;
-    return pool_.free_slots() + (low ? stock - backlog : 0);
+    const std::uint32_t reserve = low_watermark();
+    // The reserve is refilled only from half of it downwards, and then
+    // completely, to batch the moves.
+    const bool below_half = backlog <= reserve / 2;
+    return pool_.free_slots() + (below_half ? reserve - backlog : 0);
 }
 
 bool shard_scheduler::peers_have_backlog(time_point now) const
@@ -274,25 +286,26 @@
 
 void shard_scheduler::advertise(time_point now, bool due)
 {
-    const std::uint32_t want = wanted();
+    const std::uint32_t demand = request_demand();
     const bool backlog = !queue_.empty();
-    const bool changed = (want > 0) != (advertised_wanted_ > 0) ||
+    const bool changed = (demand > 0) != (advertised_demand_ > 0) ||
                          backlog != advertised_backlog_;
-    const bool others_wait = peers_have_backlog(now);
-    // As long as others have work to give, each want is told at once. The rest
-    // is told once a period while there is something to balance.
-    const bool urgent = changed || (want > 0 && others_wait);
-    const bool regular = due && (backlog || others_wait);
+    const bool peers_backlogged = peers_have_backlog(now);
+    // A change, and any demand while peers are backlogged, is advertised at
+    // once. Otherwise one advert per period is sent while there is backlog to
+    // balance.
+    const bool urgent = changed || (demand > 0 && peers_backlogged);
+    const bool periodic = due && (backlog || peers_backlogged);
     if (due)
         next_advert_ = now + options_.advert_period;
-    if ((!urgent && !regular) || now < advert_allowed_)
+    if ((!urgent && !periodic) || now < earliest_advert_)
         return;
-    advert_allowed_ = now + options_.advert_min_gap;
-    advertised_wanted_ = want;
+    earliest_advert_ = now + options_.advert_min_gap;
+    advertised_demand_ = demand;
     advertised_backlog_ = backlog;
     advert message;
     message.shard = id_;
-    message.wanted = want;
+    message.wanted = demand;
     message.backlog = static_cast<std::uint32_t>(queue_.size());
     message.next = queue_.next_virtual_time();
     for (const instance_id owner : exchange_.receivers())
--- a/packages/core/lib/shard_scheduler.cpp
+++ b/packages/core/lib/shard_scheduler.cpp
@@ -1,5 +1,5 @@
-// Grants, leases and admission of one shard. Moves of work to other shards of
-// the service are in shard_moves.cpp.
+// Grants, leases and admission control of one shard. Moves of requests to other
+// shards of the service are in shard_moves.cpp.
 #include "sycamorelock/core/shard_scheduler.hpp"
 
 #include <boost/random/uniform_real_distribution.hpp>
@@ -13,6 +13,7 @@
 namespace
 {
 
+/// Length of the windows over which the service rate is measured.
 constexpr duration rate_window = std::chrono::seconds(2);
 constexpr duration min_retry_after = std::chrono::seconds(1);
 constexpr duration max_retry_after = std::chrono::seconds(60);
@@ -25,8 +26,8 @@
     : id_(id), options_(options), random_(static_cast<std::uint32_t>(seed)),
       out_(out), queue_(options.queue),
       exchange_(id, options.exchange, random_(), now, queue_, out),
-      pool_(options.endpoints, out), granting_from_(now + options.settle),
-      window_from_(now)
+      pool_(options.endpoints, out),
+      granting_from_(now + options.takeover_delay), window_start_(now)
 {
 }
 
@@ -53,24 +54,24 @@
     if (rate_ <= 0 || pool_.free_slots() > queue_.size())
         return duration(0);
     const double weight = queue_.weight(account);
-    const double others = queue_.size_of(account) == 0 ? weight : 0;
-    const double share = weight / (queue_.backlogged_weight() + others);
-    const auto ahead =
+    const double added_weight = queue_.size_of(account) == 0 ? weight : 0;
+    const double share = weight / (queue_.backlogged_weight() + added_weight);
+    const auto queued_cost =
         static_cast<double>(queue_.waiting_cost(account).value());
-    const double seconds = ahead / (rate_ * share);
-    static constexpr double longest_seconds = 86400;
+    const double seconds = queued_cost / (rate_ * share);
+    static constexpr double max_seconds = 86400;
     return std::chrono::duration_cast<duration>(
-        std::chrono::duration<double>(std::min(seconds, longest_seconds)));
+        std::chrono::duration<double>(std::min(seconds, max_seconds)));
 }
 
 void shard_scheduler::send_reject(instance_id to, const enqueue& message,
                                   refusal_reason reason, duration wait)
 {
-    // Spread out, so that refused callers do not return together.
-    boost::random::uniform_real_distribution<double> spread(1.0, 1.5);
+    // Jitter keeps rejected callers from retrying all at once.
+    boost::random::uniform_real_distribution<double> jitter(1.0, 1.5);
     const duration base = std::clamp(wait, min_retry_after, max_retry_after);
-    const double after = static_cast<double>(base.count()) * spread(random_);
-    const duration jittered(static_cast<duration::rep>(after));
+    const double delay = static_cast<double>(base.count()) * jitter(random_);
+    const duration jittered(static_cast<duration::rep>(delay));
     reject answer;
     answer.request = message.request;
     answer.attempt = message.attempt;
@@ -80,13 +81,13 @@
     out_.send(to, answer);
 }
 
-bool shard_scheduler::refused(time_point now, instance_id from,
-                              const enqueue& message)
+bool shard_scheduler::reject_if_unservable(time_point now, instance_id from,
+                                           const enqueue& message)
 {
     const duration wait = predicted_wait(message.account);
     if (!pool_.any_usable() && peers_.empty())
     {
-        // Without usable slots there is no rate to predict from.
+        // Without usable slots there is no service rate to predict a wait from.
         send_reject(from, message, refusal_reason::no_endpoint,
                     options_.endpoints.eject_for);
         return true;
@@ -118,7 +119,7 @@
     const auto held = leases_.find(message.request);
     if (held != leases_.end())
     {
-        // The grant crossed this message or was lost: say it again.
+        // The grant crossed this message or was lost: resend it.
         if (held->second.attempt == message.attempt)
         {
             send_grant(message.request, held->second);
@@ -134,7 +135,7 @@
     if (queue_.contains(message.request))
         return;
     const instance_id entry = message.request.entry;
-    if (!message.moved && refused(now, entry, message))
+    if (!message.moved && reject_if_unservable(now, entry, message))
         return;
 
     waiting_request request;
@@ -149,7 +150,7 @@
     request.tried = message.tried;
     request.moved = message.moved;
     request.requeued = message.requeued;
-    enqueue_fairly(now, request);
+    push_request(now, request);
     serve(now);
 }
 
@@ -185,10 +186,11 @@
         const auto held = leases_.find(item.request);
         if (held == leases_.end() || held->second.attempt != item.attempt)
             continue;
-        held->second.expires = now + options_.lease;
+        held->second.expires = now + options_.lease_duration;
         if (item.so_far <= held->second.charged)
             continue;
-        account_for(held->second.account, item.so_far - held->second.charged);
+        charge_account(held->second.account,
+                       item.so_far - held->second.charged);
         held->second.charged = item.so_far;
     }
 }
@@ -199,14 +201,15 @@
     queue_.remove(message.request);
     if (leases_.contains(message.request) || !pool_.contains(message.endpoint))
         return;
-    // The previous owner charged it; only what comes from now on is ours.
+    // The previous owner has charged the cost so far; this one charges only
+    // what exceeds it.
     lease held;
     held.attempt = message.attempt;
     held.entry = from;
     held.account = message.account;
     held.endpoint = message.endpoint;
     held.charged = std::max(message.so_far, message.estimate);
-    held.expires = now + options_.lease;
+    held.expires = now + options_.lease_duration;
     leases_.emplace(message.request, held);
     pool_.take(message.endpoint, 0);
 }
@@ -217,13 +220,13 @@
     const auto held = leases_.find(message.request);
     if (held == leases_.end() || held->second.attempt != message.attempt)
         return;
-    account_for(held->second.account, message.total - held->second.charged);
+    charge_account(held->second.account, message.total - held->second.charged);
     served_in_window_ += static_cast<double>(message.total.value());
     end_lease(now, held, message.outcome, message.token_delay);
     serve(now);
 }
 
-void shard_scheduler::account_for(account_id account, cost amount)
+void shard_scheduler::charge_account(account_id account, cost amount)
 {
     if (amount.value() == 0)
         return;
@@ -241,7 +244,7 @@
     if (outcome == attempt_outcome::unused)
     {
         const cost refund = cost(0) - held->second.charged;
-        account_for(held->second.account, refund);
+        charge_account(held->second.account, refund);
     }
     pool_.give_back(now, held->second.endpoint, outcome, token_delay);
     leases_.erase(held);
@@ -256,13 +259,13 @@
         const auto endpoint = pool_.pick(next->prefix, next->tried);
         if (!endpoint)
             break;
-        give(now, *endpoint);
+        grant_next(now, *endpoint);
     }
     move_work(now);
     advertise(now, false);
 }
 
-void shard_scheduler::give(time_point now, endpoint_id endpoint)
+void shard_scheduler::grant_next(time_point now, endpoint_id endpoint)
 {
     const waiting_request next = *queue_.remove(queue_.front()->id);
     if (leases_.contains(next.id))
@@ -277,8 +280,8 @@
     held.account = next.account;
     held.endpoint = endpoint;
     held.charged = next.estimate;
-    held.expires = now + options_.lease;
-    account_for(next.account, next.estimate);
+    held.expires = now + options_.lease_duration;
+    charge_account(next.account, next.estimate);
     leases_.emplace(next.id, held);
     send_grant(next.id, held);
 }
@@ -332,25 +335,27 @@
     serve(now);
 }
 
-void shard_scheduler::note_rate(time_point now)
+void shard_scheduler::update_rate(time_point now)
 {
-    slack_in_window_ = slack_in_window_ || pool_.free_slots() > queue_.size();
-    if (now - window_from_ < rate_window)
+    idle_slots_in_window_ =
+        idle_slots_in_window_ || pool_.free_slots() > queue_.size();
+    if (now - window_start_ < rate_window)
         return;
     const double seconds =
-        std::chrono::duration<double>(now - window_from_).count();
+        std::chrono::duration<double>(now - window_start_).count();
     const double sample = served_in_window_ / seconds;
     static constexpr double smoothing = 0.3;
-    // A window with idle slots is a lower bound. Averaged in, it made the rate
-    // fall by a third every two idle seconds, and the first requests after a
-    // pause of six were refused because they seemed to wait too long.
-    if (rate_ == 0 || slack_in_window_)
+    // The sample of a window with idle slots is only a lower bound. If it were
+    // averaged in, the rate would fall by a third every two idle seconds, and
+    // after a pause of six seconds the first requests would be rejected because
+    // of a predicted wait that is too long.
+    if (rate_ == 0 || idle_slots_in_window_)
         rate_ = std::max(rate_, sample);
     else
         rate_ += smoothing * (sample - rate_);
     served_in_window_ = 0;
-    slack_in_window_ = false;
-    window_from_ = now;
+    idle_slots_in_window_ = false;
+    window_start_ = now;
 }
 
 void shard_scheduler::tick(time_point now)
@@ -366,10 +371,10 @@
                     predicted_wait(late.account));
     }
     expire_moved(now);
-    note_rate(now);
-    // Reports, not slots, bound the number of leases, so this is an invariant
-    // of the stated overload: adopted requests may exceed the limits for as
-    // long as two owners coexisted.
+    update_rate(now);
+    // Requests adopted after two owners coexisted may exceed the slot limits,
+    // because reports of entries, not slots, bound the number of leases. Only
+    // an overload larger than all usable slots violates the invariant.
     if (pool_.overload() > pool_.usable_slots() && pool_.any_usable())
         out_.note(event_number::invariant_slots_exceeded);
     serve(now);
--- a/packages/core/unittests/fair_queue_test.cpp
+++ b/packages/core/unittests/fair_queue_test.cpp
@@ -1,4 +1,4 @@
-// Order, charges and bounds of the fair queue.
+// Service order, charges and limits of the fair queue.
 #include "sycamorelock/core/fair_queue.hpp"
 
 #include <criterion/criterion.h>
@@ -11,8 +11,9 @@
 const account_id small = account_id::of("small");
 const account_id large = account_id::of("large");
 
-waiting_request make(account_id account, std::uint64_t number,
-                     std::uint8_t urgency = 3, std::int64_t estimate = 100)
+waiting_request make_request(account_id account, std::uint64_t number,
+                             std::uint8_t urgency = 3,
+                             std::int64_t estimate = 100)
 {
     waiting_request request;
     request.id = {instance_id::of("entry"), 1, number};
@@ -23,14 +24,15 @@
     return request;
 }
 
-/// Pushes requests with the numbers from `first` to before `end`.
+/// Pushes requests numbered [first, end).
 void push_many(fair_queue& queue, account_id account, std::uint64_t first,
                std::uint64_t end, std::uint8_t urgency = 3)
 {
     for (std::uint64_t i = first; i < end; ++i)
-        queue.push(make(account, i, urgency));
+        queue.push(make_request(account, i, urgency));
 }
 
+/// Serves the next request, charges its estimate and returns its account.
 account_id serve_one(fair_queue& queue)
 {
     const auto next = queue.remove(queue.front()->id);
@@ -46,14 +48,14 @@
     queue.set_weight(large, 3);
     queue.set_weight(small, 1);
     for (std::uint64_t i = 0; i < 400; ++i)
-        queue.push(make(i % 2 == 0 ? large : small, i));
+        queue.push(make_request(i % 2 == 0 ? large : small, i));
     int served_large = 0;
     for (int i = 0; i < 200; ++i)
         served_large += serve_one(queue) == large ? 1 : 0;
     cr_assert(served_large >= 148 && served_large <= 152, "%d", served_large);
 }
 
-Test(fair_queue, idling_earns_no_credit)
+Test(fair_queue, idle_account_earns_no_credit)
 {
     fair_queue queue({});
     push_many(queue, large, 0, 200);
@@ -66,7 +68,7 @@
     cr_assert(served_small >= 9 && served_small <= 11, "%d", served_small);
 }
 
-Test(fair_queue, urgent_work_runs_ahead_only_within_its_credit)
+Test(fair_queue, urgent_requests_exceed_the_fair_share_by_the_credit_only)
 {
     fair_queue_options options;
     options.urgent_credit = virtual_time(500);
@@ -83,24 +85,24 @@
     cr_assert(served_large >= 19 && served_large <= 21, "%d", served_large);
 }
 
-Test(fair_queue, urgent_goes_first_within_an_account)
+Test(fair_queue, urgent_requests_go_first_within_an_account)
 {
     fair_queue queue({});
-    queue.push(make(small, 1, 5));
-    queue.push(make(small, 2, 0));
-    queue.push(make(small, 3, 3));
+    queue.push(make_request(small, 1, 5));
+    queue.push(make_request(small, 2, 0));
+    queue.push(make_request(small, 3, 3));
     cr_assert_eq(queue.remove(queue.front()->id)->id.number, 2);
     cr_assert_eq(queue.remove(queue.front()->id)->id.number, 3);
     cr_assert_eq(queue.remove(queue.front()->id)->id.number, 1);
 }
 
-Test(fair_queue, imported_service_is_capped_so_that_nobody_starves)
+Test(fair_queue, imported_service_is_capped_to_prevent_starvation)
 {
     fair_queue_options options;
     options.max_lag = virtual_time(1000);
     fair_queue queue(options);
     for (std::uint64_t i = 0; i < 100; ++i)
-        queue.push(make(i % 2 == 0 ? large : small, i));
+        queue.push(make_request(i % 2 == 0 ? large : small, i));
     queue.import(large, cost(1000000));
     queue.limit_debt();
     int until_large = 0;
@@ -109,11 +111,11 @@
     cr_assert(until_large <= 11, "%d", until_large);
 }
 
-Test(fair_queue, system_time_never_goes_back)
+Test(fair_queue, system_time_never_decreases)
 {
     fair_queue queue({});
     for (std::uint64_t i = 0; i < 20; ++i)
-        queue.push(make(i % 2 == 0 ? large : small, i));
+        queue.push(make_request(i % 2 == 0 ? large : small, i));
     virtual_time before = queue.system_time();
     for (int i = 0; i < 10; ++i)
     {
@@ -129,43 +131,44 @@
     fair_queue_options options;
     options.order = queue_order::arrival;
     fair_queue queue(options);
-    queue.push(make(large, 1));
-    queue.push(make(large, 2));
-    queue.push(make(small, 3, 0));
+    queue.push(make_request(large, 1));
+    queue.push(make_request(large, 2));
+    queue.push(make_request(small, 3, 0));
     cr_assert_eq(queue.remove(queue.front()->id)->id.number, 1);
     cr_assert_eq(queue.remove(queue.front()->id)->id.number, 2);
 }
 
-Test(fair_queue, forgets_idle_accounts_beyond_its_cap)
+Test(fair_queue, evicts_idle_accounts_above_max_accounts)
 {
     fair_queue_options options;
     options.max_accounts = 100;
     fair_queue queue(options);
     for (std::uint64_t i = 0; i < 1000; ++i)
     {
-        queue.push(make(account_id(static_cast<std::uint32_t>(i + 1)), i));
+        queue.push(
+            make_request(account_id(static_cast<std::uint32_t>(i + 1)), i));
         serve_one(queue);
     }
     cr_assert(queue.virtual_times().size() <= 100);
 }
 
-Test(fair_queue, a_request_is_queued_once)
+Test(fair_queue, a_request_is_queued_only_once)
 {
     fair_queue queue({});
-    cr_assert(queue.push(make(small, 1)));
-    cr_assert_not(queue.push(make(small, 1)));
+    cr_assert(queue.push(make_request(small, 1)));
+    cr_assert_not(queue.push(make_request(small, 1)));
     cr_assert_eq(queue.size(), 1U);
-    cr_assert(queue.remove(make(small, 1).id).has_value());
-    cr_assert_not(queue.remove(make(small, 1).id).has_value());
+    cr_assert(queue.remove(make_request(small, 1).id).has_value());
+    cr_assert_not(queue.remove(make_request(small, 1).id).has_value());
 }
 
-Test(fair_queue, expires_by_deadline)
+Test(fair_queue, requests_expire_at_their_deadline)
 {
     fair_queue queue({});
-    waiting_request soon = make(small, 1);
+    waiting_request soon = make_request(small, 1);
     soon.deadline = time_point(std::chrono::seconds(1));
     queue.push(soon);
-    queue.push(make(small, 2));
+    queue.push(make_request(small, 2));
     const auto late = queue.expire(time_point(std::chrono::seconds(2)));
     cr_assert_eq(late.size(), 1U);
     cr_assert_eq(late.front().id.number, 1U);
--- a/packages/core/unittests/fairness_test.cpp
+++ b/packages/core/unittests/fairness_test.cpp
@@ -1,4 +1,5 @@
-// Shares over the whole fleet, with accounts spread unevenly over instances.
+// Fair shares over the whole fleet, with accounts distributed unevenly over the
+// instances.
 #include "fake_fleet.hpp"
 #include "trace.hpp"
 
@@ -12,26 +13,28 @@
 namespace
 {
 
-/// Keeps a number of requests of an account open through some instances.
-struct load
+/// A number of requests of one account that are kept open, submitted to some
+/// instances in rotation.
+struct account_load
 {
     std::size_t account = 0;
     double weight = 1;
     std::size_t open = 0;
-    std::vector<std::size_t> through;
-    std::size_t turn = 0;
+    std::vector<std::size_t> entries;
+    std::size_t next_entry = 0;
 };
 
+/// Submits a new request of an account whenever one of its requests ends.
 class closed_loop
 {
   public:
-    closed_loop(fake_fleet& fleet, std::vector<load> loads)
+    closed_loop(fake_fleet& fleet, std::vector<account_load> loads)
         : fleet_(fleet), loads_(std::move(loads))
     {
     }
 
-    /// Runs and returns the largest gap in weighted service between any two
-    /// accounts over any interval within the run.
+    /// Runs the load and returns the largest difference in weighted service
+    /// between any two accounts over any interval within the run.
     double run(duration length)
     {
         std::map<std::string, standin::account_trace> traces;
@@ -40,7 +43,7 @@
         {
             refill();
             fleet_.advance(std::chrono::milliseconds(20));
-            for (const load& each : loads_)
+            for (const account_load& each : loads_)
             {
                 auto& trace = traces[std::to_string(each.account)];
                 trace.weight = each.weight;
@@ -59,19 +62,19 @@
         std::erase_if(fleet_.outcomes(),
                       [](const auto& entry)
                       {
-                          const outcome& known = entry.second;
-                          return known.completed + known.refused > 0 ||
-                                 known.entry_died;
+                          const outcome& result = entry.second;
+                          return result.completed + result.refused > 0 ||
+                                 result.entry_died;
                       });
-        for (const auto& [id, known] : fleet_.outcomes())
-            ++open[known.spec.account];
-        for (load& each : loads_)
+        for (const auto& [id, result] : fleet_.outcomes())
+            ++open[result.spec.account];
+        for (account_load& each : loads_)
         {
             for (std::size_t i = open[fake_fleet::account(each.account)];
                  i < each.open; ++i)
             {
                 const std::size_t to =
-                    each.through[each.turn++ % each.through.size()];
+                    each.entries[each.next_entry++ % each.entries.size()];
                 if (fleet_.running(to))
                     fleet_.submit(to, each.account);
             }
@@ -79,7 +82,7 @@
     }
 
     fake_fleet& fleet_;
-    std::vector<load> loads_;
+    std::vector<account_load> loads_;
 };
 
 fake_fleet::plan uneven_plan(scheduling_mode mode)
@@ -90,7 +93,7 @@
             .weights = {1, 1, 2, 1}};
 }
 
-std::vector<load> uneven_loads()
+std::vector<account_load> uneven_loads()
 {
     return {{0, 1, 40, {0, 1}},
             {1, 1, 40, {2}},
@@ -98,17 +101,19 @@
             {3, 1, 120, {5, 4, 3, 2, 1, 0}}};
 }
 
-/// Charges of the slots that two accounts can hold (48 slots, 5 weights, at
-/// most 400 a request), and what 48 slots serve in an exchange of a second
-/// (500 a second each).
-constexpr double bound = 2 * 48 / 5.0 * 400 + 48 * 500 / 5.0;
-/// What 48 slots serve, at 500 a second each, in one exchange period (stretched
-/// to 0.29 s by its budget) and the message delay.
-constexpr double agreement = 0.3 * 48 * 500;
+/// Bound of the service gap per unit of weight: the charges of the slots that
+/// two accounts can hold (48 slots, a total weight of 5 and a cost of
+/// at most 400 per request), plus what 48 slots serve during an exchange of one
+/// second (cost 500 per second each).
+constexpr double max_gap_cost = 2 * 48 / 5.0 * 400 + 48 * 500 / 5.0;
+/// Bound of the disagreement: the cost that 48 slots serve, at 500 per second
+/// each, in one exchange period (stretched to 0.29 s by its byte budget) and
+/// the message delay, together 0.3 s.
+constexpr double max_disagreement_cost = 0.3 * 48 * 500;
 
 } // namespace
 
-Test(fairness, the_gap_stays_bounded_however_long_it_runs)
+Test(fairness, service_gap_is_bounded_over_a_long_run)
 {
     fake_fleet fleet(uneven_plan(scheduling_mode::full));
     fleet.advance(std::chrono::seconds(5));
@@ -117,19 +122,19 @@
     const double first = work.run(std::chrono::seconds(60));
     const double second = work.run(std::chrono::seconds(240));
     cr_log_warn("gap %.0f in 60 s, %.0f in 240 s, bound %.0f", first, second,
-                bound);
-    cr_assert(first <= bound, "%f", first);
-    cr_assert(second <= bound, "%f", second);
+                max_gap_cost);
+    cr_assert(first <= max_gap_cost, "%f", first);
+    cr_assert(second <= max_gap_cost, "%f", second);
 }
 
-Test(fairness, without_the_exchange_the_gap_grows)
+Test(fairness, service_gap_grows_without_the_exchange)
 {
-    // Shows that the test above can fail.
+    // Shows that the previous test detects an unbounded gap.
     fake_fleet fleet(uneven_plan(scheduling_mode::no_exchange));
     fleet.advance(std::chrono::seconds(5));
     closed_loop work(fleet, uneven_loads());
     const double gap = work.run(std::chrono::seconds(120));
-    cr_assert(gap > 2 * bound, "%f", gap);
+    cr_assert(gap > 2 * max_gap_cost, "%f", gap);
 }
 
 namespace
@@ -161,8 +166,8 @@
     return found;
 }
 
-/// Largest difference between any two schedulers in how far apart they think
-/// that two accounts are, in units of virtual time.
+/// Largest difference between any two schedulers in the distance of the virtual
+/// times of any two accounts.
 double disagreement(const fake_fleet& fleet, std::size_t accounts)
 {
     double worst = 0;
@@ -170,7 +175,7 @@
     {
         for (std::size_t b = a + 1; b < accounts; ++b)
         {
-            std::vector<double> opinions;
+            std::vector<double> differences;
             for_each_scheduler(fleet,
                                [&](const shard_scheduler& shard, std::size_t)
                                {
@@ -179,19 +184,19 @@
                                            .at(fake_fleet::account(account))
                                            .value();
                                    };
-                                   opinions.push_back(at(a) - at(b));
+                                   differences.push_back(at(a) - at(b));
                                });
             const auto [low, high] =
-                std::minmax_element(opinions.begin(), opinions.end());
+                std::minmax_element(differences.begin(), differences.end());
             worst = std::max(worst, *high - *low);
         }
     }
     return worst;
 }
 
-/// Runs the uneven loads through a failure; afterwards the gap is bounded and
-/// the schedulers agree.
-template <class Failure> void check_recovery(Failure fail_and_heal)
+/// Runs the uneven loads through a failure and checks that afterwards the gap
+/// is bounded and the schedulers agree, for 20 seeds.
+template <class Failure> void check_recovery(Failure fail_and_recover)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -201,27 +206,28 @@
         fleet.advance(std::chrono::seconds(5));
         closed_loop work(fleet, uneven_loads());
         work.run(std::chrono::seconds(10));
-        fail_and_heal(fleet, work);
-        const double apart = disagreement(fleet, 4);
+        fail_and_recover(fleet, work);
+        const double max_difference = disagreement(fleet, 4);
         const double gap = work.run(std::chrono::seconds(30));
         cr_log_warn("seed %d: gap %.0f, schedulers disagree by %.0f",
-                    static_cast<int>(seed), gap, apart);
-        cr_expect(gap <= bound, "%f", gap);
-        cr_expect(apart <= agreement, "%f", apart);
+                    static_cast<int>(seed), gap, max_difference);
+        cr_expect(gap <= max_gap_cost, "%f", gap);
+        cr_expect(max_difference <= max_disagreement_cost, "%f",
+                  max_difference);
     }
 }
 
 } // namespace
 
-Test(fairness, gap_comes_back_after_a_scheduler_is_killed)
+Test(fairness, service_gap_is_bounded_after_a_scheduler_is_killed)
 {
     check_recovery(
         [](fake_fleet& fleet, closed_loop& work)
         {
-            const std::size_t victim = scheduler_of(fleet, 1);
-            fleet.kill(victim);
+            const std::size_t killed = scheduler_of(fleet, 1);
+            fleet.kill(killed);
             work.run(std::chrono::seconds(8));
-            fleet.restart(victim);
+            fleet.restart(killed);
             work.run(std::chrono::seconds(8));
         });
 }
@@ -241,7 +247,7 @@
 namespace
 {
 
-/// The plan of the integration test: 24 slots, 250 tokens a second each.
+/// The plan of the integration test: 24 slots of 250 tokens per second each.
 fake_fleet::plan integration_plan(std::uint64_t seed)
 {
     return {.accounts = 3,
@@ -252,37 +258,38 @@
             .per_cost = std::chrono::milliseconds(4)};
 }
 
-/// Its bound: an account with a third of the slots holds eight, of at most 80
-/// tokens.
-constexpr double steady_bound = 2 * 8 * 80 + 0.25 * 24 * 250 / 3;
+/// Bound of the service gap under the integration plan: two accounts hold a
+/// third of the slots each, which is eight, of at most 80 tokens, plus the
+/// service of a third of the slots in 0.25 s.
+constexpr double max_steady_gap_tokens = 2 * 8 * 80 + 0.25 * 24 * 250 / 3;
 
 } // namespace
 
-Test(fairness, what_waited_at_a_dead_scheduler_is_repaid_within_8_s)
+Test(fairness, lag_due_to_a_dead_scheduler_is_repaid_within_8_s)
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed)
     {
         fake_fleet fleet(integration_plan(seed));
         fleet.advance(std::chrono::seconds(5));
-        const std::size_t victim = scheduler_of(fleet, 1);
+        const std::size_t killed = scheduler_of(fleet, 1);
         std::vector<std::size_t> alive{0, 1, 2, 3, 4, 5};
-        std::erase(alive, victim);
+        std::erase(alive, killed);
         closed_loop work(fleet, {{0, 1, 30, {alive[0]}},
                                  {1, 1, 30, {alive[2]}},
                                  {2, 1, 90, alive}});
         work.run(std::chrono::seconds(8));
-        fleet.kill(victim);
+        fleet.kill(killed);
         work.run(std::chrono::seconds(8));
         const double gap = work.run(std::chrono::seconds(4));
-        cr_expect(gap <= steady_bound, "seed %d: %f", static_cast<int>(seed),
-                  gap);
+        cr_expect(gap <= max_steady_gap_tokens, "seed %d: %f",
+                  static_cast<int>(seed), gap);
     }
 }
 
-// Guards against an account that is still repaid when the others are done: its
-// debt was forgiven, or its requests had been moved to a shard whose owner no
-// longer had it.
-Test(fairness, what_a_partition_took_is_repaid_within_8_s)
+// Guards against a lag from a partition that is repaid too late: either the lag
+// was cancelled, or the requests of the account had been moved to a shard whose
+// owner had lost it.
+Test(fairness, lag_due_to_a_partition_is_repaid_within_8_s)
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed)
     {
@@ -296,7 +303,7 @@
         fleet.cut_domain(2, false);
         work.run(std::chrono::seconds(8));
         const double gap = work.run(std::chrono::seconds(5));
-        cr_expect(gap <= steady_bound, "seed %d: %f", static_cast<int>(seed),
-                  gap);
+        cr_expect(gap <= max_steady_gap_tokens, "seed %d: %f",
+                  static_cast<int>(seed), gap);
     }
 }
--- a/packages/core/unittests/shard_scheduler_test.cpp
+++ b/packages/core/unittests/shard_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// What one scheduler does with single messages.
+// Reactions of one shard scheduler to single messages.
 #include "sycamorelock/core/shard_scheduler.hpp"
 
 #include <criterion/criterion.h>
@@ -8,9 +8,10 @@
 namespace
 {
 
-constexpr std::chrono::seconds long_wait(60);
+constexpr std::chrono::seconds default_time_left(60);
 
-/// A scheduler that has just taken over a shard whose accounts are apart.
+/// A scheduler that has just taken over a shard. According to a snapshot of a
+/// peer, one account lags behind the other and behind the system time.
 struct new_owner
 {
     new_owner() : scheduler(shard.id, {}, 1, now, out)
@@ -25,41 +26,41 @@
         scheduler.configure(service, shard, {}, {}, 1);
         scheduler.set_peers(now, {{other, peer}});
         scheduler.tick(now);
-        snapshot known;
-        known.shard = other;
-        known.system = virtual_time(9000);
-        known.items = {{waited, virtual_time(1000)},
-                       {served, virtual_time(9000)}};
-        scheduler.on_message(now, peer, known);
+        snapshot virtual_times;
+        virtual_times.shard = other;
+        virtual_times.system = virtual_time(9000);
+        virtual_times.items = {{lagging, virtual_time(1000)},
+                               {leading, virtual_time(9000)}};
+        scheduler.on_message(now, peer, virtual_times);
     }
 
     void enqueue_one(account_id account, std::uint64_t number, bool requeued,
                      bool moved = false)
     {
-        enqueue wanted;
-        wanted.request = {instance_id::of("entry"), 1, number};
-        wanted.attempt = 1;
-        wanted.shard = shard.id;
-        wanted.account = account;
-        wanted.estimate = cost(100);
-        wanted.time_left = time_left;
-        wanted.requeued = requeued;
-        wanted.moved = moved;
-        scheduler.on_message(now, wanted.request.entry, wanted);
+        enqueue message;
+        message.request = {instance_id::of("entry"), 1, number};
+        message.attempt = 1;
+        message.shard = shard.id;
+        message.account = account;
+        message.estimate = cost(100);
+        message.time_left = time_left;
+        message.requeued = requeued;
+        message.moved = moved;
+        scheduler.on_message(now, message.request.entry, message);
     }
 
-    void peer_tells(std::uint32_t wanted, std::uint32_t backlog,
-                    virtual_time next)
+    void receive_advert(std::uint32_t wanted, std::uint32_t backlog,
+                        virtual_time next)
     {
         scheduler.on_message(now, peer, advert{other, wanted, backlog, next});
     }
 
-    /// Requests that were sent to an instance since the last call.
-    std::size_t enqueued_at(instance_id where)
+    /// Number of enqueue messages sent to an instance since the last call.
+    std::size_t enqueues_sent_to(instance_id receiver)
     {
         std::size_t count = 0;
         const auto sent = out.take_messages();
-        const auto found = sent.find(where);
+        const auto found = sent.find(receiver);
         if (found == sent.end())
             return count;
         for (const peer_message& each : found->second)
@@ -67,11 +68,11 @@
         return count;
     }
 
-    account_id waited = account_id::of("waited");
-    account_id served = account_id::of("served");
+    account_id lagging = account_id::of("lagging");
+    account_id leading = account_id::of("leading");
     instance_id peer = instance_id::of("peer");
     time_point now{std::chrono::seconds(100)};
-    std::chrono::milliseconds time_left = long_wait;
+    std::chrono::milliseconds time_left = default_time_left;
     service_spec service;
     shard_spec shard{{service_id::of("planner"), domain_id::of("a"), 0}, {}};
     shard_id other{service_id::of("planner"), domain_id::of("b"), 0};
@@ -81,66 +82,69 @@
 
 } // namespace
 
-Test(shard_scheduler, what_waited_at_the_previous_owner_keeps_its_claim)
+Test(shard_scheduler, requeued_request_keeps_the_virtual_time_of_its_account)
 {
     new_owner owner;
-    owner.enqueue_one(owner.waited, 1, true);
-    cr_assert_eq(owner.scheduler.queue().at(owner.waited).value(), 1000);
+    owner.enqueue_one(owner.lagging, 1, true);
+    cr_assert_eq(owner.scheduler.queue().at(owner.lagging).value(), 1000);
 }
 
-Test(shard_scheduler, what_comes_back_from_idling_has_no_claim)
+Test(shard_scheduler, account_that_was_idle_starts_at_the_system_time)
 {
     new_owner owner;
-    owner.enqueue_one(owner.waited, 1, false);
-    cr_assert_eq(owner.scheduler.queue().at(owner.waited).value(), 9000);
+    owner.enqueue_one(owner.lagging, 1, false);
+    cr_assert_eq(owner.scheduler.queue().at(owner.lagging).value(), 9000);
 }
 
-// Guards against a debt that is forgiven because all requests of the account
-// have just been moved to a peer, whose reports do not say yet that they wait.
-Test(shard_scheduler, what_was_moved_to_a_peer_keeps_its_claim)
+// Guards against cancelling the lag of an account because all its requests have
+// just been moved to a peer whose reports do not show them yet.
+Test(shard_scheduler, account_with_moved_requests_keeps_its_virtual_time)
 {
     new_owner owner;
-    owner.enqueue_one(owner.waited, 1, true);
-    owner.peer_tells(1, 0, virtual_time(9000));
-    cr_assert_eq(owner.enqueued_at(owner.peer), 1);
-    owner.enqueue_one(owner.waited, 2, false);
-    cr_expect_eq(owner.scheduler.queue().at(owner.waited).value(), 1000);
+    owner.enqueue_one(owner.lagging, 1, true);
+    owner.receive_advert(1, 0, virtual_time(9000));
+    cr_assert_eq(owner.enqueues_sent_to(owner.peer), 1);
+    owner.enqueue_one(owner.lagging, 2, false);
+    cr_expect_eq(owner.scheduler.queue().at(owner.lagging).value(), 1000);
 }
 
-// Guards against an account that is charged for service that peers gave it: it
-// was lifted to their level before their reports were counted.
-Test(shard_scheduler, what_is_served_here_follows_no_peer_before_a_resync)
+// Guards against charging an account twice for service granted by peers: it was
+// raised to their virtual time before their reports were counted.
+Test(shard_scheduler,
+     account_with_a_slot_is_not_raised_to_peers_before_a_resync)
 {
     new_owner owner;
-    owner.enqueue_one(owner.served, 1, false);
+    owner.enqueue_one(owner.leading, 1, false);
     owner.now += std::chrono::seconds(1);
     owner.scheduler.tick(owner.now);
     cr_assert(owner.scheduler.queue().empty());
-    const double before = owner.scheduler.queue().at(owner.served).value();
-    owner.peer_tells(0, 5, virtual_time(20000));
-    owner.enqueue_one(owner.served, 2, false);
-    cr_expect_eq(owner.scheduler.queue().at(owner.served).value(), before);
+    const double before = owner.scheduler.queue().at(owner.leading).value();
+    owner.receive_advert(0, 5, virtual_time(20000));
+    owner.enqueue_one(owner.leading, 2, false);
+    cr_expect_eq(owner.scheduler.queue().at(owner.leading).value(), before);
 }
 
-// Guards against requests that wait until their entries ask again, seconds
-// later: their entries follow only the owner of the shard that moved them.
-Test(shard_scheduler, what_was_moved_here_goes_to_the_next_owner)
+// Guards against moved requests that stay unqueued until their entries resend
+// them, seconds later. Entries track only the owner of the shard that moved the
+// requests, so they do not notice the change.
+Test(shard_scheduler, requests_moved_here_are_forwarded_to_the_next_owner)
 {
     new_owner owner;
-    owner.enqueue_one(owner.waited, 1, false, true);
-    owner.enqueue_one(owner.waited, 2, false);
+    owner.enqueue_one(owner.lagging, 1, false, true);
+    owner.enqueue_one(owner.lagging, 2, false);
     const instance_id next = instance_id::of("next");
     owner.scheduler.hand_over(owner.now, {{owner.shard.id, next}});
-    cr_expect_eq(owner.enqueued_at(next), 1);
+    cr_expect_eq(owner.enqueues_sent_to(next), 1);
 }
 
-// Found by a rolling restart beside load: the rate fell while nobody asked, so
-// the first requests after a pause were refused as too late.
-Test(shard_scheduler, a_pause_does_not_make_the_endpoints_seem_slow)
+// Guards against a service rate that falls while there are no requests, so that
+// the first ones after a pause are rejected because of their deadline. Found by
+// a rolling restart under load.
+Test(shard_scheduler, idle_windows_do_not_lower_the_service_rate)
 {
     new_owner owner;
-    const cost size(100);
-    const auto pass = [&](int ms)
+    const cost request_cost(100);
+    const auto advance = [&](int ms)
     {
         for (int i = 0; i < ms / 100; ++i)
         {
@@ -148,26 +152,26 @@
             owner.scheduler.tick(owner.now);
         }
     };
-    pass(10000);
-    // Ten requests a second.
+    advance(10000);
+    // Ten requests per second.
     std::uint64_t number = 0;
     while (number < 100)
     {
-        owner.enqueue_one(owner.waited, ++number, false);
-        pass(100);
+        owner.enqueue_one(owner.lagging, ++number, false);
+        advance(100);
         release done;
         done.request = {instance_id::of("entry"), 1, number};
         done.attempt = 1;
         done.shard = owner.shard.id;
-        done.total = size;
+        done.total = request_cost;
         owner.scheduler.on_message(owner.now, done.request.entry, done);
     }
-    pass(20000);
+    advance(20000);
     static_cast<void>(owner.out.take_messages());
-    // Each has five seconds, and all together take one.
+    // Each has five seconds left, and all ten together take one second.
     owner.time_left = std::chrono::seconds(5);
     for (int i = 0; i < 10; ++i)
-        owner.enqueue_one(owner.waited, ++number, false);
+        owner.enqueue_one(owner.lagging, ++number, false);
     for (const auto& [to, sent] : owner.out.take_messages())
     {
         for (const peer_message& each : sent)
