--- a/packages/core/include/sycamorelock/core/shard_scheduler.hpp
+++ b/packages/core/include/sycamorelock/core/shard_scheduler.hpp
@@ -43,8 +43,9 @@
     shard_scheduler(shard_id id, scheduler_options options, std::uint64_t seed,
                     time_point now, outbox& out);
 
-    /// Applies new settings. The slots of each endpoint are divided by
-    /// `divide_slots`, the number of instances that schedule independently.
+    /// Applies new settings. The slots of each endpoint are divided, rounding
+    /// up, by `divide_slots`, the number of instances that schedule
+    /// independently.
     void configure(const service_spec& service, const shard_spec& shard,
                    const std::map<account_id, account_spec>& accounts,
                    const std::vector<endpoint_id>& leaving,
