--- a/packages/core/include/sycamorelock/core/direct/account_shares.hpp
+++ b/packages/core/include/sycamorelock/core/direct/account_shares.hpp
@@ -10,11 +10,12 @@
 namespace sycamorelock::core::direct
 {
 
-/// What an account asked of the fleet and got through one instance lately.
+/// Recent demand of an account through one instance, and the part of it that
+/// was served.
 struct account_demand
 {
     account_id account;
-    /// Tokens asked for, per second.
+    /// Tokens of all requests of the account, per second.
     double asked = 0;
     /// Tokens of requests that were sent to an endpoint, per second.
     double served = 0;
@@ -25,7 +26,8 @@
         served += other.served;
         return *this;
     }
-    /// Takes out what was added before.
+    /// Subtracts a demand that was added before. Rounding does not make the
+    /// result negative.
     account_demand& operator-=(const account_demand& other)
     {
         asked = std::max(0.0, asked - other.asked);
@@ -34,13 +36,14 @@
     }
 };
 
-/// How an account stands against its share. 1 is exactly the share; 0 means
-/// that every demand can be met.
+/// The served tokens of an account relative to its max-min fair share: 1 is
+/// exactly the share; 0 means that every demand can be met.
 struct account_standing
 {
-    /// Against the throughput that operators name.
+    /// Relative to the share of the throughput that operators configure.
     double owed = 0;
-    /// Against the throughput that the engines reach at present.
+    /// Relative to the share of the throughput that the engines reach at
+    /// present, which is at least the configured one.
     double fair = 0;
 };
 
@@ -48,27 +51,36 @@
 /// throughput; infinite if all demands fit.
 double max_min_share(double throughput, std::vector<double> demands);
 
+/// Estimates the demand of each client account over the whole fleet, from this
+/// instance's requests and the reports of others, and compares what an account
+/// is served with its fair share.
 class account_shares
 {
   public:
-    /// From this age on, what a report tells fades as the averages in it do. A
-    /// younger one is taken as it is: accounts go on meanwhile.
-    static constexpr duration report_fresh = std::chrono::milliseconds(300);
+    /// Age from which on the rates in a report decay as their averages do. The
+    /// rates in a younger report are used unchanged, since accounts continue to
+    /// send requests in the meantime.
+    static constexpr duration full_weight_age = std::chrono::milliseconds(300);
 
-    /// Notes a request and tells how its account stands over the whole fleet.
-    /// \param throughput tokens per second that operators name; 0 if none.
+    /// Records a request, and returns its account's use of the fleet relative
+    /// to the account's share. \param throughput tokens per second that
+    /// operators configure; 0 if none are configured.
     account_standing ask(time_point now, account_id account, double tokens,
                          double throughput);
-    /// Notes that a request was sent to an endpoint.
+    /// Records that a request was sent to an endpoint.
     void serve(time_point now, account_id account, double tokens);
 
-    /// Takes what an instance, or a sum of instances, tells. Averages cannot
-    /// fall faster than they fade, so where the new one is lower, what was told
-    /// before fades instead: an aggregator that has just started knows a part
-    /// of the fleet only. When one was replaced, 79 instances sent 2.8 million
-    /// tokens of one account in a second, of which it was owed a twentieth.
+    /// Merges the report of an instance, or of an aggregator that sums those of
+    /// several instances. An average cannot fall faster than its exponential
+    /// decay, so a lower reported value is replaced by the decayed previous
+    /// one. This covers an aggregator that has just started and knows only a
+    /// part of the fleet: without it, 79
+    /// instances sent 2.8 million tokens of one account in one second when an
+    /// aggregator was replaced, and the account was owed a twentieth of them.
     void report(time_point now, instance_id from,
                 const std::vector<account_demand>& demands);
+    /// Returns the demands through this instance of at least one token per
+    /// second.
     [[nodiscard]] std::vector<account_demand> own(time_point now) const;
 
   private:
@@ -87,7 +99,7 @@
 
     std::map<account_id, meters> own_;
     std::map<instance_id, instance_report> reports_;
-    /// Sums over the fleet, renewed a few times a second.
+    /// Sums over the fleet, recomputed at most every 100 ms.
     std::map<account_id, account_demand> fleet_;
     double owed_share_ = 0;
     double fair_share_ = 0;
--- a/packages/core/include/sycamorelock/core/direct/catalogue.hpp
+++ b/packages/core/include/sycamorelock/core/direct/catalogue.hpp
@@ -1,5 +1,5 @@
-// What operators publish for direct routing: routes, services, client accounts
-// and limits on what callers may send.
+// Configuration that operators publish for direct routing: routes, services,
+// client accounts, and limits on the requests of callers.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -16,29 +16,32 @@
 
 using std::chrono::milliseconds;
 
-/// What may be repeated.
+/// Whether and how requests of a route may be repeated.
 enum class route_kind : std::uint8_t
 {
     /// Idempotent: may run more than once.
     idempotent,
     /// Runs at most once for each attempt of the caller.
     once,
-    /// Answered by a stream of events; runs once unless it can be resumed.
+    /// Answered by a stream of events; runs at most once unless the stream can
+    /// be resumed.
     stream,
 };
 
-/// A service that a route leads to, with its share of the route's requests.
+/// A service that receives requests of a route, with its relative weight among
+/// the route's services.
 struct route_target
 {
     service_id service;
     double weight = 1;
 };
 
+/// Requests to one host under one path prefix, and how they are handled.
 struct route
 {
     std::string name;
     std::string host;
-    /// Begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     std::string prefix;
     route_kind kind = route_kind::once;
     /// Longest time until the final answer.
@@ -46,7 +49,7 @@
     /// Response-time objective: to the first event of a stream, else to the
     /// whole answer.
     milliseconds objective{0};
-    /// Longest pause between events of an answer that is on time.
+    /// Objective for the longest pause between two events of an answer.
     milliseconds pause_objective{0};
     /// 0 is the most urgent.
     unsigned urgency = 1;
@@ -56,8 +59,8 @@
     bool anonymous = false;
     bool resumable = false;
 
-    /// Whether a request may be sent to a second endpoint after the first one
-    /// may have begun to run it.
+    /// Returns whether a request may be sent to a second endpoint after the
+    /// first one may have started to run it.
     [[nodiscard]] bool repeatable() const
     {
         return kind == route_kind::idempotent || resumable;
@@ -70,15 +73,17 @@
     std::string name;
     /// Connections that one endpoint accepts from all instances together.
     unsigned max_connections = 0;
-    /// Tokens that an engine's memory holds; zero for a plain service.
+    /// Capacity of an engine's KV cache in tokens; zero for a plain service.
     double memory_tokens = 0;
-    /// Bytes of memory for each token, and what an engine's link to the others
-    /// carries; zero where engines cannot fetch prompts from each other.
+    /// KV cache bytes per token, and bandwidth of an engine's link to other
+    /// engines; zero where engines cannot fetch KV cache contents from each
+    /// other.
     double token_bytes = 0;
     double link_bytes_per_ms = 0;
 
-    /// Time for which an endpoint warms up, and requests a second that it bears
-    /// meanwhile; a time of zero: endpoints of this service need none.
+    /// Warm-up time of an endpoint, and requests per second that it can serve
+    /// meanwhile. A time of zero means that endpoints of this service need no
+    /// warm-up.
     milliseconds warmup{0};
     double warmup_per_second = 0;
 
@@ -87,7 +92,8 @@
     {
         return token_bytes > 0 && link_bytes_per_ms > 0;
     }
-    /// Time that an idle link takes for the memory of some tokens, in ms.
+    /// Returns the time in ms for which the KV cache contents of some tokens
+    /// occupy an otherwise idle link. Requires `can_fetch()`.
     [[nodiscard]] double transfer_ms(double tokens) const
     {
         return tokens * token_bytes / link_bytes_per_ms;
@@ -98,19 +104,20 @@
 {
     account_id id;
     std::string name;
-    /// Goes before the urgency of the route.
+    /// Overrides the urgency of the route.
     std::optional<unsigned> urgency;
 };
 
-/// Bounds on what callers send and on how long they take.
+/// Limits on the size of requests and on the time that callers take to send
+/// them, and the capacity that client accounts share.
 struct caller_limits
 {
     std::uint32_t max_header_bytes = 16 * 1024;
     std::uint64_t max_body_bytes = 4 * 1024 * 1024;
     milliseconds header_timeout{3000};
     milliseconds idle_timeout{15000};
-    /// Tokens that all engines produce a second: prompt tokens count once,
-    /// generated ones twice. Zero if the operators name no figure.
+    /// Throughput of all engines together: prompt tokens count once, generated
+    /// tokens twice. Zero if operators configure none.
     double tokens_per_second = 0;
 };
 
@@ -122,18 +129,22 @@
     std::vector<route> routes;
     std::map<service_id, service> services;
     std::map<account_id, account> accounts;
+    /// Client accounts by API key.
     std::unordered_map<std::string, account_id> keys;
     caller_limits limits;
 
-    /// Orders the routes so that the first match is the longest prefix. To be
-    /// called once after the routes are filled in.
+    /// Builds the lookup tables, with the routes of a host ordered by
+    /// descending length of the prefix. Must be called once after `routes` is
+    /// filled in.
     void index();
 
-    /// The route with the longest prefix of the path, or none.
+    /// Returns the route of the host with the longest prefix of the path, or
+    /// nullptr if there is none.
     [[nodiscard]] const route* find_route(std::string_view host,
                                           std::string_view path) const;
 
-    /// The shortest objective among the routes that lead to a service.
+    /// Returns the shortest response-time objective among the routes to a
+    /// service, or zero if no route leads to it.
     [[nodiscard]] milliseconds tightest_objective(service_id service) const;
 
   private:
--- a/packages/core/include/sycamorelock/core/direct/hold_time.hpp
+++ b/packages/core/include/sycamorelock/core/direct/hold_time.hpp
@@ -1,5 +1,6 @@
-// How long requests hold a slot of an endpoint, learned from those that ended,
-// and how long the next one waits for a slot. Operators name no such figure.
+// Estimates how long requests occupy a slot of an endpoint, from completed
+// requests, and how long the next request waits for a slot. The configuration
+// has no such value.
 #pragma once
 
 #include <algorithm>
@@ -8,27 +9,30 @@
 namespace sycamorelock::core::direct
 {
 
-/// Mean over the requests of one service that this instance sent.
+/// Mean time for which requests of one service occupy a slot, over the requests
+/// that this instance sent.
 class hold_time
 {
   public:
-    /// Requests over which the mean is taken: it follows a release within
-    /// seconds, and one long answer moves it by a twentieth.
+    /// Number of requests over which the mean is taken. The mean follows a new
+    /// release of the service within seconds, and one long answer changes it by
+    /// a twentieth of its deviation.
     static constexpr std::size_t memory = 20;
 
-    /// \param guess_ms mean until a request has ended.
-    explicit hold_time(double guess_ms = 0) : mean_ms_(guess_ms) {}
+    /// \param initial_ms mean until the first request has completed.
+    explicit hold_time(double initial_ms = 0) : mean_ms_(initial_ms) {}
 
-    /// Notes a request that succeeded, `held_ms` after it was sent.
+    /// Records a request that succeeded `held_ms` after it was sent.
     void observe(double held_ms);
 
     [[nodiscard]] double mean_ms() const { return mean_ms_; }
 
-    /// Wait for a slot where `holding` requests are already: slots come free
-    /// evenly spread over the mean. 0 if one is free.
-    [[nodiscard]] double wait_ms(double holding, double slots) const
+    /// Returns the wait for a slot of an endpoint with `requests` unfinished
+    /// requests, assuming that slots become free evenly over the mean; 0 if a
+    /// slot is free.
+    [[nodiscard]] double wait_ms(double requests, double slots) const
     {
-        return std::max(0.0, holding + 1 - slots) / slots * mean_ms_;
+        return std::max(0.0, requests + 1 - slots) / slots * mean_ms_;
     }
 
   private:
--- a/packages/core/include/sycamorelock/core/direct/rate_meter.hpp
+++ b/packages/core/include/sycamorelock/core/direct/rate_meter.hpp
@@ -1,4 +1,4 @@
-// Exponentially averaged rate of something that comes in pieces.
+// Exponentially decaying average of the rate of discrete amounts.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -6,21 +6,24 @@
 namespace sycamorelock::core::direct
 {
 
+/// Averages the rate of amounts that are added at points in time.
 class rate_meter
 {
   public:
-    /// Time over which rates are averaged. Shares are judged over some seconds,
-    /// and a flood should show within one.
+    /// Time constant of the exponential decay. Shares are compared over a few
+    /// seconds, and a flood of requests should be visible within one second.
     static constexpr duration averaging = std::chrono::milliseconds(1500);
 
     void add(time_point now, double amount);
     /// Amount per second.
     [[nodiscard]] double rate_at(time_point now) const;
 
-    /// What is left of a rate after some time without any amount, as a factor.
-    [[nodiscard]] static double fade(duration age);
+    /// Returns the factor by which a rate decays over a time without any
+    /// amount.
+    [[nodiscard]] static double decay_factor(duration age);
 
-    /// The same averaging as a factor: what one amount adds to the rate.
+    /// Returns the rate, in amount per second, that one amount adds to the
+    /// average at the time it is added.
     [[nodiscard]] static double rate_of(double amount);
 
   private:
--- a/packages/core/include/sycamorelock/core/direct/slow_start.hpp
+++ b/packages/core/include/sycamorelock/core/direct/slow_start.hpp
@@ -1,5 +1,6 @@
-// Limits what endpoints that warm up get from the whole fleet, without a
-// coordinator: each endpoint's allowance is divided among a few instances.
+// Limits the requests that endpoints get during their warm-up from all
+// instances together, without a coordinator: each instance computes its share
+// of an endpoint's allowance by rendezvous hashing.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -13,7 +14,7 @@
 namespace sycamorelock::core::direct
 {
 
-/// An instance of the fleet that may send requests, live or silent.
+/// An instance of the fleet that may send requests, reachable or not.
 struct fleet_member
 {
     instance_id instance;
@@ -22,97 +23,114 @@
     auto operator<=>(const fleet_member&) const = default;
 };
 
-/// Who may send how much to an endpoint that warms up. Rendezvous hashing
-/// divides the requests of one second among the failure domains, and the part
-/// of a domain among its instances. Parts of domains do not depend on who is
-/// heard, so that in a cut both sides together stay within the allowance.
+/// Divides the allowance of an endpoint that warms up. Rendezvous hashing
+/// divides the requests of one second among the failure domains, and the share
+/// of a domain among its instances. The shares of the domains do not depend on
+/// which instances are reachable, so that both sides of a network partition
+/// together stay within the allowance.
 class allowance_parts
 {
   public:
-    /// A part that an instance gains may be used after this time: until then
-    /// another one may not know that it has lost it.
-    static constexpr duration settling = std::chrono::seconds(2);
+    /// Time after which an instance may use a share that it gained. Until then
+    /// the previous holder may not know that it has lost the share.
+    static constexpr duration settling_time = std::chrono::seconds(2);
 
-    /// \param domains failure domains of the fleet, as far as settings name
-    /// them; those of known instances are added.
+    /// \param domains failure domains of the fleet that the settings name;
+    /// those of known instances are added.
     allowance_parts(instance_id self, domain_id own,
                     std::set<domain_id> domains);
 
-    /// Takes the instances that are known now, without this one.
+    /// Sets the instances that are known now, without this one.
     void set_members(time_point now, const std::vector<fleet_member>& members);
 
-    /// Requests that this instance may send to an endpoint in any second.
-    /// \param allowance those that all instances together may send.
+    /// Returns the number of requests that this instance may send to an
+    /// endpoint in any second; zero until the first members have been known for
+    /// `settling_time`.
+    /// \param allowance requests that all instances together may send in any
+    /// second.
     [[nodiscard]] unsigned own_part(time_point now, endpoint_id endpoint,
                                     unsigned allowance) const;
 
   private:
-    /// A picture of the fleet, in force until the next one.
-    struct view
+    /// Membership of the own failure domain from a time on.
+    struct membership
     {
         time_point since;
-        /// Other instances of the own domain.
-        std::vector<instance_id> others;
+        /// Other instances of the own domain, sorted.
+        std::vector<instance_id> domain_peers;
     };
 
-    [[nodiscard]] unsigned part_in(const view& seen, endpoint_id endpoint,
-                                   unsigned allowance) const;
+    [[nodiscard]] unsigned share_under(const membership& members,
+                                       endpoint_id endpoint,
+                                       unsigned allowance) const;
 
     instance_id self_;
     domain_id own_;
     std::set<domain_id> domains_;
-    /// Newest first. Empty until anything is known.
-    std::deque<view> views_;
+    /// Newest first. Empty until the first call of set_members.
+    std::deque<membership> memberships_;
 };
 
-/// Which endpoints warm up, and what this instance has sent to each endpoint
-/// within the last second.
+/// Tracks which endpoints warm up, and which requests this instance has sent
+/// to each endpoint within the last second.
 class slow_start
 {
   public:
-    /// The bound counts any second. A little more covers clocks that differ.
+    /// Length of the sliding window in which sent requests count. The allowance
+    /// holds for any second; the additional 20 ms cover clocks that differ.
     static constexpr duration window = std::chrono::milliseconds(1020);
-    /// Time without a request to an endpoint that turned cold while in use:
-    /// what others send in ignorance of it ends meanwhile.
-    static constexpr duration pause = std::chrono::milliseconds(1500);
-    /// An absurd time must not limit an endpoint for good.
-    static constexpr duration longest = std::chrono::minutes(10);
-    /// After the warm-up instances lift the limit one after the other within
-    /// this time.
-    static constexpr duration lift = std::chrono::seconds(1);
-    /// An endpoint that is not listed for so long has ended.
-    static constexpr duration keep_unlisted = std::chrono::minutes(10);
-
-    /// An endpoint warms up for some more time. The longest such time holds.
-    /// \param in_use others may be sending to it without a limit.
+    /// Time without requests to an endpoint that turned cold while in use.
+    /// Instances that do not know of the warm-up yet stop sending at the full
+    /// rate within this time.
+    static constexpr duration cold_pause = std::chrono::milliseconds(1500);
+    /// Upper bound of a warm-up, so that an implausible value cannot limit an
+    /// endpoint forever.
+    static constexpr duration max_warmup = std::chrono::minutes(10);
+    /// Time after the end of a warm-up over which the instances lift the limit
+    /// one after the other.
+    static constexpr duration lift_period = std::chrono::seconds(1);
+    /// Time after which an unlisted endpoint is considered gone and its state
+    /// is removed.
+    static constexpr duration unlisted_retention = std::chrono::minutes(10);
+
+    /// Records that an endpoint warms up for the time `left` from now on. Of
+    /// several calls the latest end of the warm-up holds.
+    /// \param in_use whether other instances may be sending to the endpoint
+    /// without a limit.
     void note(time_point now, endpoint_id endpoint, duration left, bool in_use);
 
-    /// What is left of the warm-up; zero if there is none.
+    /// Returns the remaining time of the warm-up; zero if there is none.
     [[nodiscard]] duration left(time_point now, endpoint_id endpoint) const;
 
-    /// When the limit ends; in the past if there is none.
-    /// \param rank this instance's rank in lifting it, from 0 to 1.
+    /// Returns when the limit ends; a time in the past if there is none.
+    /// \param rank position of this instance in the order in which instances
+    /// lift the limit, from 0 to 1.
     [[nodiscard]] time_point limited_until(endpoint_id endpoint,
                                            double rank) const;
 
-    /// Whether one more request may be sent to an endpoint that warms up.
-    /// \param part requests that this instance may send in any second.
-    /// \param chosen requests that were chosen for it and are not sent yet.
+    /// Returns whether one more request may be sent to an endpoint that warms
+    /// up.
+    /// \param share requests that this instance may send in any second.
+    /// \param pending requests that are assigned to the endpoint and not sent
+    /// yet.
     [[nodiscard]] bool admits(time_point now, endpoint_id endpoint,
-                              unsigned part, unsigned chosen) const;
+                              unsigned share, unsigned pending) const;
 
-    /// Time until `admits` may hold, or the limit ends; zero if it does now.
+    /// Returns the time until `admits` may return true or the limit ends; zero
+    /// if a request may be sent now.
     [[nodiscard]] duration free_in(time_point now, endpoint_id endpoint,
-                                   unsigned part) const;
+                                   unsigned share) const;
 
-    /// Notes a request whose first bytes were just sent.
+    /// Records a request whose first bytes were just sent.
     void sent(time_point now, endpoint_id endpoint);
 
-    /// An endpoint is not listed any more.
+    /// Records that an endpoint is no longer listed.
     void note_unlisted(time_point now, endpoint_id endpoint);
-    /// An endpoint is listed. Returns whether it had not been for a while.
+    /// Records that an endpoint is listed. Returns whether it was unlisted
+    /// before.
     bool listed_again(endpoint_id endpoint);
-    /// Forgets endpoints that have not been listed for long.
+    /// Removes the state of endpoints that have been unlisted for longer than
+    /// `unlisted_retention`.
     void forget_unlisted(time_point now);
 
   private:
@@ -121,15 +139,15 @@
         time_point warm_at;
         time_point paused_until;
         std::deque<time_point> sent;
-        /// Since when it is not listed.
-        std::optional<time_point> unlisted;
+        /// When the endpoint was removed from the list, if it is not listed.
+        std::optional<time_point> unlisted_since;
     };
 
     [[nodiscard]] const state* find(endpoint_id endpoint) const;
     [[nodiscard]] static unsigned sent_within(time_point now,
-                                              const state& known);
+                                              const state& endpoint);
 
-    std::map<endpoint_id, state> known_;
+    std::map<endpoint_id, state> states_;
 };
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/include/sycamorelock/core/direct/unseen_requests.hpp
+++ b/packages/core/include/sycamorelock/core/direct/unseen_requests.hpp
@@ -1,5 +1,7 @@
-// What other instances have sent since the news of them. Where that news is
-// old, choosing the endpoint that was best in it sends everything there.
+// Estimates how the requests that other instances have sent since their last
+// reports are distributed over endpoints. If instances with stale reports
+// ignore these requests, all of them choose the endpoint that was the best at
+// the time of the reports and overload it.
 #pragma once
 
 #include <span>
@@ -8,20 +10,22 @@
 namespace sycamorelock::core::direct
 {
 
-/// What an endpoint costs a request, as the news tells it.
+/// Cost of a request at an endpoint according to the last reports.
 struct endpoint_offer
 {
     /// Cost of the next request, in ms, without a wait for a slot.
     double cost_ms = 0;
-    /// Requests that it takes before they wait; negative if as many wait.
+    /// Requests that the endpoint accepts before further ones wait; if
+    /// negative, the number of requests that wait already.
     double free_slots = 0;
-    /// What each request beyond these adds to the wait, in ms.
+    /// Increase of the wait by each request beyond the free slots, in ms.
     double ms_per_request = 0;
 };
 
-/// How many of `requests` each endpoint gets if each goes where it costs least
-/// after those before it (the level that stale load information leads to:
-/// Dahlin, "Interpreting Stale Load Information", 2000).
+/// Returns how many of `requests` each endpoint gets if each request goes to
+/// the endpoint where it costs least after the preceding requests. This fills
+/// the endpoints up to a common cost, as in Dahlin, "Interpreting Stale Load
+/// Information", 2000.
 std::vector<double> spread_requests(std::span<const endpoint_offer> offers,
                                     double requests);
 
--- a/packages/core/lib/direct/account_shares.cpp
+++ b/packages/core/lib/direct/account_shares.cpp
@@ -1,4 +1,5 @@
-// Demands averaged with exponential decay; one share for the whole fleet.
+// Exponentially averaged demands, and max-min fair shares computed from their
+// sums over the whole fleet.
 #include "sycamorelock/core/direct/account_shares.hpp"
 
 #include <algorithm>
@@ -10,10 +11,11 @@
 namespace
 {
 
-/// How often the shares are worked out anew: as often as reports come.
+/// Minimum time between recomputations of the shares: the interval of reports.
 constexpr duration refresh_period = std::chrono::milliseconds(100);
-/// By now less than a thousandth of a report is left.
-constexpr duration forgotten_after = 7 * rate_meter::averaging;
+/// Age at which a report is removed: less than a thousandth of its rates is
+/// left after the decay.
+constexpr duration max_report_age = 7 * rate_meter::averaging;
 
 } // namespace
 
@@ -38,15 +40,16 @@
     refreshed_at_ = now;
     fleet_.clear();
     std::erase_if(reports_, [now](const auto& entry)
-                  { return now - entry.second.at > forgotten_after; });
+                  { return now - entry.second.at > max_report_age; });
     for (const account_demand& demand : own(now))
         fleet_[demand.account] += demand;
     for (const auto& [instance, report] : reports_)
     {
         const duration age = now - report.at;
-        const double keep = age > report_fresh ? rate_meter::fade(age) : 1;
+        const double factor =
+            age > full_weight_age ? rate_meter::decay_factor(age) : 1;
         for (const auto& [id, demand] : report.demands)
-            fleet_[id] += {id, demand.asked * keep, demand.served * keep};
+            fleet_[id] += {id, demand.asked * factor, demand.served * factor};
     }
     std::vector<double> asked;
     double served = 0;
@@ -75,7 +78,8 @@
 void account_shares::serve(time_point now, account_id account, double tokens)
 {
     own_[account].served.add(now, tokens);
-    // Counts at once for this instance's next request of the account.
+    // The account's next request through this instance sees the tokens without
+    // a recomputation.
     fleet_[account].served += rate_meter::rate_of(tokens);
 }
 
@@ -83,12 +87,12 @@
                             const std::vector<account_demand>& demands)
 {
     instance_report& known = reports_[from];
-    const double keep = rate_meter::fade(now - known.at);
+    const double factor = rate_meter::decay_factor(now - known.at);
     known.at = now;
-    for (auto& [id, before] : known.demands)
+    for (auto& [id, previous] : known.demands)
     {
-        before.asked *= keep;
-        before.served *= keep;
+        previous.asked *= factor;
+        previous.served *= factor;
     }
     for (const account_demand& demand : demands)
     {
--- a/packages/core/lib/direct/catalogue.cpp
+++ b/packages/core/lib/direct/catalogue.cpp
@@ -1,4 +1,4 @@
-// Lookup of routes.
+// Lookup of routes and of the objectives of services.
 #include "sycamorelock/core/direct/catalogue.hpp"
 
 #include <algorithm>
--- a/packages/core/lib/direct/hold_time.cpp
+++ b/packages/core/lib/direct/hold_time.cpp
@@ -1,4 +1,5 @@
-// A mean that is exact for the first requests and fades afterwards.
+// The mean is arithmetic over the first requests and exponentially weighted
+// afterwards.
 #include "sycamorelock/core/direct/hold_time.hpp"
 
 namespace sycamorelock::core::direct
--- a/packages/core/lib/direct/rate_meter.cpp
+++ b/packages/core/lib/direct/rate_meter.cpp
@@ -1,4 +1,4 @@
-// The rate decays with the age of what made it.
+// Implements the average as one value that decays with its age.
 #include "sycamorelock/core/direct/rate_meter.hpp"
 
 #include <algorithm>
@@ -28,14 +28,14 @@
     at_ = now;
 }
 
-double rate_meter::fade(duration age)
+double rate_meter::decay_factor(duration age)
 {
     return std::exp(-std::max(0.0, seconds(age)) / seconds(averaging));
 }
 
 double rate_meter::rate_at(time_point now) const
 {
-    return rate_ * fade(now - at_);
+    return rate_ * decay_factor(now - at_);
 }
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/lib/direct/slow_start.cpp
+++ b/packages/core/lib/direct/slow_start.cpp
@@ -1,4 +1,5 @@
-// Parts of an allowance by rendezvous hashing, and a sliding second.
+// Shares of an allowance by rendezvous hashing, and a sliding window of sent
+// requests.
 #include "sycamorelock/core/direct/slow_start.hpp"
 
 #include "sycamorelock/core/direct/prompt_homes.hpp"
@@ -12,17 +13,18 @@
 namespace
 {
 
-/// The part at a place of an amount that is divided as evenly as whole numbers
-/// allow.
-unsigned part_at(std::size_t place, std::size_t places, unsigned amount)
+/// Divides `amount` into `count` integer shares that differ by at most one, and
+/// returns the share at `index`; the larger shares come first.
+unsigned even_share(std::size_t index, std::size_t count, unsigned amount)
 {
-    const auto each = static_cast<unsigned>(amount / places);
-    return each + (place < amount % places ? 1 : 0);
+    const auto base = static_cast<unsigned>(amount / count);
+    return base + (index < amount % count ? 1 : 0);
 }
 
-/// How many ids have a higher rank for an endpoint than one of them.
+/// Returns the position of an id in the rendezvous order of an endpoint: the
+/// number of ids with a higher rank, where the lower id goes first on a tie.
 template <class Ids, class Id>
-std::size_t place_of(const Ids& ids, Id which, endpoint_id endpoint)
+std::size_t hash_position(const Ids& ids, Id which, endpoint_id endpoint)
 {
     const double own = rank_of(which.value(), endpoint);
     return static_cast<std::size_t>(std::count_if(
@@ -46,40 +48,41 @@
 void allowance_parts::set_members(time_point now,
                                   const std::vector<fleet_member>& members)
 {
-    std::vector<instance_id> others;
+    std::vector<instance_id> peers;
     for (const fleet_member& each : members)
     {
         domains_.insert(each.domain);
         if (each.domain == own_ && each.instance != self_)
-            others.push_back(each.instance);
+            peers.push_back(each.instance);
     }
-    std::sort(others.begin(), others.end());
-    if (!views_.empty() && views_.front().others == others)
+    std::sort(peers.begin(), peers.end());
+    if (!memberships_.empty() && memberships_.front().domain_peers == peers)
         return;
-    views_.push_front({now, std::move(others)});
-    while (views_.size() > 1 &&
-           now - views_[views_.size() - 2].since >= settling)
-        views_.pop_back();
+    memberships_.push_front({now, std::move(peers)});
+    while (memberships_.size() > 1 &&
+           now - memberships_[memberships_.size() - 2].since >= settling_time)
+        memberships_.pop_back();
 }
 
-unsigned allowance_parts::part_in(const view& seen, endpoint_id endpoint,
-                                  unsigned allowance) const
+unsigned allowance_parts::share_under(const membership& members,
+                                      endpoint_id endpoint,
+                                      unsigned allowance) const
 {
-    const unsigned of_domain =
-        part_at(place_of(domains_, own_, endpoint), domains_.size(), allowance);
-    return part_at(place_of(seen.others, self_, endpoint),
-                   seen.others.size() + 1, of_domain);
+    const unsigned of_domain = even_share(
+        hash_position(domains_, own_, endpoint), domains_.size(), allowance);
+    return even_share(hash_position(members.domain_peers, self_, endpoint),
+                      members.domain_peers.size() + 1, of_domain);
 }
 
 unsigned allowance_parts::own_part(time_point now, endpoint_id endpoint,
                                    unsigned allowance) const
 {
     unsigned least = std::numeric_limits<unsigned>::max();
-    for (const view& seen : views_)
+    for (const membership& members : memberships_)
     {
-        least = std::min(least, part_in(seen, endpoint, allowance));
-        // What was seen before it has settled.
-        if (now - seen.since >= settling)
+        least = std::min(least, share_under(members, endpoint, allowance));
+        // Every instance knows by now that older memberships no longer hold.
+        if (now - members.since >= settling_time)
             return least;
     }
     return 0;
@@ -90,24 +93,24 @@
 {
     if (left <= duration(0))
         return;
-    state& known = known_[endpoint];
+    state& known = states_[endpoint];
     const bool was_warm = known.warm_at <= now;
-    known.warm_at = std::max(known.warm_at, now + std::min(left, longest));
+    known.warm_at = std::max(known.warm_at, now + std::min(left, max_warmup));
     if (in_use && was_warm)
-        known.paused_until = now + pause;
+        known.paused_until = now + cold_pause;
 }
 
 const slow_start::state* slow_start::find(endpoint_id endpoint) const
 {
-    const auto found = known_.find(endpoint);
-    return found == known_.end() ? nullptr : &found->second;
+    const auto found = states_.find(endpoint);
+    return found == states_.end() ? nullptr : &found->second;
 }
 
-unsigned slow_start::sent_within(time_point now, const state& known)
+unsigned slow_start::sent_within(time_point now, const state& endpoint)
 {
-    const auto first =
-        std::upper_bound(known.sent.begin(), known.sent.end(), now - window);
-    return static_cast<unsigned>(known.sent.end() - first);
+    const auto first = std::upper_bound(endpoint.sent.begin(),
+                                        endpoint.sent.end(), now - window);
+    return static_cast<unsigned>(endpoint.sent.end() - first);
 }
 
 duration slow_start::left(time_point now, endpoint_id endpoint) const
@@ -122,37 +125,38 @@
     const state* known = find(endpoint);
     if (known == nullptr || known->warm_at == time_point())
         return {};
-    return known->warm_at + std::chrono::duration_cast<duration>(lift * rank);
+    return known->warm_at +
+           std::chrono::duration_cast<duration>(lift_period * rank);
 }
 
-bool slow_start::admits(time_point now, endpoint_id endpoint, unsigned part,
-                        unsigned chosen) const
+bool slow_start::admits(time_point now, endpoint_id endpoint, unsigned share,
+                        unsigned pending) const
 {
     const state* known = find(endpoint);
     if (known == nullptr)
-        return chosen < part;
+        return pending < share;
     return now >= known->paused_until &&
-           sent_within(now, *known) + chosen < part;
+           sent_within(now, *known) + pending < share;
 }
 
 duration slow_start::free_in(time_point now, endpoint_id endpoint,
-                             unsigned part) const
+                             unsigned share) const
 {
     const state* known = find(endpoint);
     if (known == nullptr)
         return duration(0);
     const time_point warm = std::max(now, known->warm_at);
     time_point free = std::max(now, known->paused_until);
-    if (part == 0)
+    if (share == 0)
         free = warm;
-    else if (sent_within(now, *known) >= part)
-        free = std::max(free, known->sent[known->sent.size() - part] + window);
+    else if (sent_within(now, *known) >= share)
+        free = std::max(free, known->sent[known->sent.size() - share] + window);
     return std::min(free, warm) - now;
 }
 
 void slow_start::sent(time_point now, endpoint_id endpoint)
 {
-    std::deque<time_point>& times = known_[endpoint].sent;
+    std::deque<time_point>& times = states_[endpoint].sent;
     times.push_back(now);
     while (times.front() < now - window)
         times.pop_front();
@@ -160,25 +164,25 @@
 
 void slow_start::note_unlisted(time_point now, endpoint_id endpoint)
 {
-    known_[endpoint].unlisted = now;
+    states_[endpoint].unlisted_since = now;
 }
 
 bool slow_start::listed_again(endpoint_id endpoint)
 {
-    const auto found = known_.find(endpoint);
-    if (found == known_.end() || !found->second.unlisted)
+    const auto found = states_.find(endpoint);
+    if (found == states_.end() || !found->second.unlisted_since)
         return false;
-    found->second.unlisted.reset();
+    found->second.unlisted_since.reset();
     return true;
 }
 
 void slow_start::forget_unlisted(time_point now)
 {
-    std::erase_if(known_,
+    std::erase_if(states_,
                   [now](const auto& each)
                   {
-                      const auto& unlisted = each.second.unlisted;
-                      return unlisted && now - *unlisted > keep_unlisted;
+                      const auto& since = each.second.unlisted_since;
+                      return since && now - *since > unlisted_retention;
                   });
 }
 
--- a/packages/core/lib/direct/unseen_requests.cpp
+++ b/packages/core/lib/direct/unseen_requests.cpp
@@ -1,4 +1,4 @@
-// Bisection over the cost that the last request pays.
+// Finds the common cost up to which the endpoints are filled by bisection.
 #include "sycamorelock/core/direct/unseen_requests.hpp"
 
 #include <algorithm>
@@ -11,26 +11,27 @@
 namespace
 {
 
-/// Answers may seem to hold a slot for no time; a request still adds this, in
-/// ms.
-constexpr double least_ms_per_request = 0.01;
+/// Lower bound of the wait that a request adds, in ms. The estimated time for
+/// which a request occupies a slot may be zero.
+constexpr double min_ms_per_request = 0.01;
 
-/// Requests that an endpoint takes until the next one costs more than `level`.
-double taken_below(const endpoint_offer& offer, double level)
+/// Returns the number of requests that an endpoint gets until the next one
+/// costs more than `level`, in ms.
+double requests_below(const endpoint_offer& offer, double level)
 {
     if (level < offer.cost_ms)
         return 0;
     const double ms_per_request =
-        std::max(least_ms_per_request, offer.ms_per_request);
+        std::max(min_ms_per_request, offer.ms_per_request);
     return std::max(0.0, offer.free_slots +
                              (level - offer.cost_ms) / ms_per_request);
 }
 
-double taken_below(std::span<const endpoint_offer> offers, double level)
+double requests_below(std::span<const endpoint_offer> offers, double level)
 {
     return std::accumulate(offers.begin(), offers.end(), 0.0,
                            [level](double sum, const endpoint_offer& offer)
-                           { return sum + taken_below(offer, level); });
+                           { return sum + requests_below(offer, level); });
 }
 
 } // namespace
@@ -38,32 +39,33 @@
 std::vector<double> spread_requests(std::span<const endpoint_offer> offers,
                                     double requests)
 {
-    // To a fraction of a ms for costs of hours.
-    static constexpr int halvings = 40;
+    // Resolves a fraction of a millisecond at costs of hours.
+    static constexpr int bisection_steps = 40;
     double low = std::numeric_limits<double>::infinity();
     for (const endpoint_offer& offer : offers)
         low = std::min(low, offer.cost_ms);
     double step = 1;
-    while (!offers.empty() && taken_below(offers, low + step) < requests)
+    while (!offers.empty() && requests_below(offers, low + step) < requests)
         step *= 2;
     double high = low + step;
-    for (int i = 0; i < halvings; ++i)
+    for (int i = 0; i < bisection_steps; ++i)
     {
         const double middle = (low + high) / 2;
-        (taken_below(offers, middle) < requests ? low : high) = middle;
+        (requests_below(offers, middle) < requests ? low : high) = middle;
     }
-    std::vector<double> taken;
-    taken.reserve(offers.size());
+    std::vector<double> counts;
+    counts.reserve(offers.size());
     double sum = 0;
     for (const endpoint_offer& offer : offers)
     {
-        taken.push_back(taken_below(offer, high));
-        sum += taken.back();
+        counts.push_back(requests_below(offer, high));
+        sum += counts.back();
     }
-    // At one cost several endpoints may have more room than is needed.
-    for (double& each : taken)
+    // If several endpoints have free slots at the same cost, they may accept
+    // more requests than there are.
+    for (double& each : counts)
         each *= requests / sum;
-    return taken;
+    return counts;
 }
 
 } // namespace sycamorelock::core::direct
