--- a/packages/core/unittests/direct_load_test.cpp
+++ b/packages/core/unittests/direct_load_test.cpp
@@ -1,6 +1,7 @@
-// Load patterns against routers that decide by themselves, before model
-// engines. Each test names the pattern; its bounds come from runs of the same
-// seed with the part of the decision taken out, as its comment says.
+// Tests of direct routing under load patterns, with model engines. A test is
+// named after its pattern. Its bounds lie between the results with all
+// mechanisms and, for the same seed, without the mechanism that the comment
+// names.
 #include "direct_world.hpp"
 
 #include <criterion/criterion.h>
@@ -23,40 +24,42 @@
     world.run(8);
     world.forget_results();
     world.run(8);
-    const kind_result& plans = world.of_kind("overhaul");
-    // 346 of 585; 200 if reading again costs nothing extra.
-    cr_expect_gt(share(plans.on_time, plans.asked), 0.5, "%u of %u",
-                 plans.on_time, plans.asked);
+    const kind_result& overhauls = world.of_kind("overhaul");
+    // 346 of 585; 200 if the cost of a repeated prefill counts only
+    // its delay (`reread_price` switched off).
+    cr_expect_gt(share(overhauls.on_time, overhauls.asked), 0.5, "%u of %u",
+                 overhauls.on_time, overhauls.asked);
     const kind_result& notes = world.of_kind("note");
     cr_expect_gt(share(notes.on_time, notes.asked), 0.9, "%u of %u",
                  notes.on_time, notes.asked);
 }
 
-// 4.5 million tokens for 1,840 requests; 6.7 million if reading again costs
-// nothing extra.
-Test(direct_load, shared_prompts_stay_where_they_were_read)
+// Engines prefill 4.5 million tokens for 1,840 requests; 6.7 million if the
+// cost of a repeated prefill counts only its delay (`reread_price` switched
+// off).
+Test(direct_load, shared_prompts_stay_on_the_engines_that_cache_them)
 {
     direct_world world(atlas_plan());
     world.run(6);
     const double before = world.tokens_read();
     world.run(10);
-    const double read = world.tokens_read() - before;
-    cr_expect_lt(read, 5.4e6, "%.0f tokens read", read);
+    const double prefilled = world.tokens_read() - before;
+    cr_expect_lt(prefilled, 5.4e6, "%.0f tokens prefilled", prefilled);
 }
 
-Test(direct_load, a_hot_subject_spreads_over_several_engines)
+Test(direct_load, a_hot_prompt_is_served_by_several_engines)
 {
     direct_world world(atlas_plan());
     world.run(6);
     world.forget_results();
     world.set_hot_subject(0.3);
     world.run(6);
-    const kind_result& plans = world.of_kind("overhaul");
-    cr_expect_gt(share(plans.on_time, plans.asked), 0.45, "%u of %u",
-                 plans.on_time, plans.asked);
+    const kind_result& overhauls = world.of_kind("overhaul");
+    cr_expect_gt(share(overhauls.on_time, overhauls.asked), 0.45, "%u of %u",
+                 overhauls.on_time, overhauls.asked);
 }
 
-Test(direct_load, a_flooding_account_does_not_take_from_small_ones)
+Test(direct_load, a_flooding_account_does_not_delay_small_accounts)
 {
     direct_world world(atlas_plan());
     world.run(6);
@@ -70,9 +73,10 @@
     cr_expect_gt(flood.refused, small.refused);
 }
 
-// Before accounts were held against what the engines reach, one of two
-// flooding accounts got three times the other's tokens.
-Test(direct_load, two_flooding_accounts_get_about_the_same)
+// When the shares were computed from the configured throughput alone, and not
+// from the throughput that the engines reach, one of two flooding accounts got
+// three times the tokens of the other.
+Test(direct_load, two_flooding_accounts_get_similar_throughput)
 {
     direct_world world(atlas_plan());
     world.run(6);
@@ -87,7 +91,7 @@
                  "%.0f against %.0f tokens", one, other);
 }
 
-Test(direct_load, a_burst_keeps_what_is_sent_on_time)
+Test(direct_load, requests_sent_during_a_burst_are_on_time)
 {
     direct_world world(atlas_plan());
     world.run(6);
@@ -99,7 +103,7 @@
                  "%u on time, %u late", all.on_time, all.late);
 }
 
-Test(direct_load, half_of_the_engines_gone)
+Test(direct_load, half_of_the_engines_crash)
 {
     direct_world world(atlas_plan());
     world.run(6);
@@ -112,9 +116,9 @@
                  all.asked);
 }
 
-// With the slowness left out of the prediction the slow engines get as many
-// requests as the others.
-Test(direct_load, slow_engines_get_less)
+// If the prediction ignores the slowdown factor of an engine, the slow engines
+// get as many requests as the others.
+Test(direct_load, slow_engines_get_fewer_requests)
 {
     direct_world world(atlas_plan());
     world.run(6);
@@ -124,11 +128,11 @@
     world.run(6);
     const unsigned slow = world.sent_to(0, 6);
     const unsigned others = world.sent_to(6, 12);
-    cr_expect_lt(slow * 4, others, "%u to slow ones, %u to others", slow,
+    cr_expect_lt(slow * 4, others, "%u to slow engines, %u to others", slow,
                  others);
 }
 
-Test(direct_load, halves_that_do_not_hear_each_other_still_serve)
+Test(direct_load, partitioned_halves_still_serve)
 {
     direct_world world(atlas_plan());
     world.run(6);
@@ -141,9 +145,9 @@
                  notes.on_time, notes.asked);
 }
 
-// Accounts far beyond their part are refused on purpose, so the test looks at
-// those within it, and at what was sent.
-Test(direct_load, reports_half_a_second_old_still_do)
+// Accounts far beyond their share are refused on purpose. The test therefore
+// checks the accounts within their share, and the requests that were sent.
+Test(direct_load, reports_half_a_second_old_suffice)
 {
     world_plan plan = atlas_plan();
     plan.report_delay_ms = 500;
@@ -160,27 +164,29 @@
         on_time += world.of_account(name).on_time;
     }
     cr_expect_gt(share(on_time, asked), 0.7, "%u of %u", on_time, asked);
-    const kind_result& plans = world.of_kind("overhaul");
-    cr_expect_gt(share(plans.on_time, plans.on_time + plans.late), 0.75,
-                 "%u on time, %u late", plans.on_time, plans.late);
+    const kind_result& overhauls = world.of_kind("overhaul");
+    cr_expect_gt(share(overhauls.on_time, overhauls.on_time + overhauls.late),
+                 0.75, "%u on time, %u late", overhauls.on_time,
+                 overhauls.late);
 }
 
-// 417 of 1,175 plans on time; 63 if all routers choose among all engines by
-// news that is 0.2 s old, as those with the shortest wait in it get everything.
-Test(direct_load, a_large_fleet_with_old_news_does_not_choose_the_same_engines)
+// 417 of 1,175 overhaul requests are on time; 63 if all routers choose among
+// all engines by reports that are 0.2 s old, since all requests then go to the
+// engines with the shortest wait in the reports.
+Test(direct_load, a_large_fleet_with_stale_reports_uses_different_engines)
 {
     direct_world world(large_plan());
     world.run(4);
     world.forget_results();
     world.run(4);
-    const kind_result& plans = world.of_kind("overhaul");
-    cr_expect_gt(share(plans.on_time, plans.asked), 0.3, "%u of %u",
-                 plans.on_time, plans.asked);
+    const kind_result& overhauls = world.of_kind("overhaul");
+    cr_expect_gt(share(overhauls.on_time, overhauls.asked), 0.3, "%u of %u",
+                 overhauls.on_time, overhauls.asked);
 }
 
-// 289 of 481 plans on time; 248 if a prompt has three engines however many ask
-// about it.
-Test(direct_load, a_hot_subject_of_a_large_fleet_gets_more_engines)
+// 289 of 481 overhaul requests are on time; 248 if a prompt is assigned to
+// three engines regardless of its request rate.
+Test(direct_load, a_hot_prompt_of_a_large_fleet_gets_more_engines)
 {
     direct_world world(large_plan());
     world.run(4);
@@ -189,17 +195,18 @@
     world.run(4);
     world.forget_results();
     world.run(4);
-    const kind_result& plans = world.of_kind("overhaul");
-    cr_expect_gt(share(plans.on_time, plans.asked), 0.57, "%u of %u",
-                 plans.on_time, plans.asked);
+    const kind_result& overhauls = world.of_kind("overhaul");
+    cr_expect_gt(share(overhauls.on_time, overhauls.asked), 0.57, "%u of %u",
+                 overhauls.on_time, overhauls.asked);
 }
 
-// A large fleet whose prompts have three engines each: while one reads a long
-// prompt, others are refused behind all of it, also when most is read. 2,258
-// come in time, and 1,862 if prompts count in full until their first token.
+// In a large fleet each prompt is assigned to three engines. If a long prompt
+// counts in full until its first token, requests queued behind it are refused
+// even when most of its prefill is done: 1,862 are on time then, and 2,258 if
+// only the remaining prefill counts.
 Test(direct_load, requests_behind_long_prompts_are_refused_less)
 {
-    const auto usual = [](const world_plan& plan)
+    const auto run_plan = [](const world_plan& plan)
     {
         direct_world world(plan);
         world.run(4);
@@ -208,18 +215,19 @@
         return world.of_all_kinds();
     };
     world_plan plan = large_plan();
-    const kind_result with = usual(plan);
+    const kind_result with = run_plan(plan);
     plan.mechanisms.switch_off(direct::mechanism::reading_progress);
-    const kind_result without = usual(plan);
+    const kind_result without = run_plan(plan);
     cr_expect_gt(with.on_time, without.on_time + without.on_time / 10,
                  "%u with, %u without", with.on_time, without.on_time);
     cr_expect_lt(share(with.late, with.on_time), 0.08, "%u late", with.late);
 }
 
-// Guards against refusals beside idle engines: all routers send to the engine
-// that was idle in the last news, until the next news says that it is the other
-// one (soak seed 9100 with 38 instances). Without `unseen_requests` 283 come in
-// time and 354 late, and 74 are refused with a quarter of the slots free.
+// Guards against refusals while an engine is idle: all routers send to the
+// engine that was idle in the last report, until the next report shows the
+// other engine as idle (soak seed 9100 with 38 instances). Without
+// `unseen_requests` 283 requests are on time and 354 late, and 74 are refused
+// with a quarter of the slots free.
 Test(direct_load, an_overloaded_large_fleet_keeps_both_engines_busy)
 {
     direct_world world(undescribed_plan());
@@ -237,7 +245,8 @@
 namespace
 {
 
-/// Statements on time, of drafts of letters under a pattern.
+/// Returns the number of statement requests that are on time under a load
+/// pattern.
 template <class Pattern>
 unsigned statements_on_time(const world_plan& plan, Pattern pattern)
 {
@@ -251,9 +260,9 @@
 
 } // namespace
 
-// Half of the statements are about one subject, more than one engine can read.
-// 281 of 400 are on time; 227 where the prompt is read by each engine that
-// takes them.
+// Half of the statement requests share one prompt, more than one engine can
+// prefill. 281 of 400 are on time if other engines fetch the KV cache of the
+// prompt; 227 if each engine prefills the prompt itself.
 Test(direct_load, a_hot_prompt_is_fetched_by_other_engines)
 {
     const auto hot = [](direct_world& world) { world.set_hot_subject(0.5); };
@@ -265,8 +274,9 @@
                  without);
 }
 
-// Engines read a third of what the operators' figure lets expect. By it alone
-// engines seem to be idle, and what is sent comes late.
+// Engines prefill at a third of the rate that follows from the configured
+// throughput. Predicted from the configuration alone, engines seem to be idle,
+// and requests are answered late.
 Test(direct_load, engines_slower_than_the_operators_figure_are_learned)
 {
     world_plan plan = letters_plan();
@@ -293,14 +303,14 @@
                  without);
 }
 
-// The same engines. The speed that is learned for each engine corrects every
-// prompt by one factor, whatever its length; what is learned for all tells them
-// apart.
-Test(direct_load, predictions_for_slower_engines_miss_less)
+// With the same engines, the slowdown factor learned for each engine corrects
+// prompts of every length alike. The parameters learned for all engines
+// together depend on the length and reduce the prediction error further.
+Test(direct_load, learned_parameters_reduce_the_prediction_error)
 {
     world_plan plan = letters_plan();
     plan.figures.tokens_per_ms = 10;
-    const auto miss = [](const world_plan& of)
+    const auto median_error = [](const world_plan& of)
     {
         direct_world world(of);
         world.run(6);
@@ -308,15 +318,15 @@
         world.run(10);
         return world.median_miss();
     };
-    const double with = miss(plan);
+    const double with = median_error(plan);
     plan.mechanisms.switch_off(direct::mechanism::learned_figures);
-    const double without = miss(plan);
+    const double without = median_error(plan);
     cr_expect_lt(with, without, "%.3f with, %.3f without", with, without);
 }
 
-// Engines that take three times as long as before, all at once, as after a
-// release: what is sent is on time again after a few seconds.
-Test(direct_load, engines_that_turn_slow_are_learned)
+// All engines take three times as long as before at once, as after a release of
+// the service. Requests are on time again after a few seconds.
+Test(direct_load, a_slowdown_of_all_engines_is_learned)
 {
     direct_world world(letters_plan());
     world.run(6);
--- a/packages/core/unittests/unseen_requests_test.cpp
+++ b/packages/core/unittests/unseen_requests_test.cpp
@@ -1,4 +1,5 @@
-// Spreading of requests that are not known yet.
+// Tests of the estimated distribution of requests that were sent since the last
+// reports.
 #include "sycamorelock/core/direct/unseen_requests.hpp"
 
 #include <criterion/criterion.h>
@@ -7,43 +8,46 @@
 
 using namespace sycamorelock::core::direct;
 
-Test(unseen_requests, the_cheapest_gets_all_that_it_has_room_for)
+Test(unseen_requests, free_slots_of_the_cheapest_endpoint_are_used_first)
 {
     const std::array<endpoint_offer, 2> offers{{{0, 10, 5}, {40, 10, 5}}};
-    const std::vector<double> got = spread_requests(offers, 8);
-    cr_expect_float_eq(got[0], 8, 1e-6);
-    cr_expect_float_eq(got[1], 0, 1e-6);
+    const std::vector<double> counts = spread_requests(offers, 8);
+    cr_expect_float_eq(counts[0], 8, 1e-6);
+    cr_expect_float_eq(counts[1], 0, 1e-6);
 }
 
-Test(unseen_requests, what_is_beyond_waits_for_as_long_everywhere)
+Test(unseen_requests, requests_beyond_the_free_slots_cost_the_same_everywhere)
 {
-    // Twelve more wait 60 ms at the first, and the second costs 40 more.
+    // Twelve requests beyond the free slots of the first endpoint wait up to
+    // 60 ms; four beyond those of the second wait up to 20 ms, and each request
+    // costs 40 ms more there.
     const std::array<endpoint_offer, 2> offers{{{0, 10, 5}, {40, 10, 5}}};
-    const std::vector<double> got = spread_requests(offers, 36);
-    cr_expect_float_eq(got[0], 22, 1e-6, "%f", got[0]);
-    cr_expect_float_eq(got[1], 14, 1e-6, "%f", got[1]);
+    const std::vector<double> counts = spread_requests(offers, 36);
+    cr_expect_float_eq(counts[0], 22, 1e-6, "%f", counts[0]);
+    cr_expect_float_eq(counts[1], 14, 1e-6, "%f", counts[1]);
 }
 
-Test(unseen_requests, free_slots_at_one_cost_are_shared_in_proportion)
+Test(unseen_requests, free_slots_at_equal_cost_are_used_in_proportion)
 {
     const std::array<endpoint_offer, 3> offers{
         {{7, 30, 5}, {7, 10, 5}, {7, -4, 5}}};
-    const std::vector<double> got = spread_requests(offers, 4);
-    cr_expect_float_eq(got[0], 3, 1e-6, "%f", got[0]);
-    cr_expect_float_eq(got[1], 1, 1e-6, "%f", got[1]);
-    cr_expect_float_eq(got[2], 0, 1e-6, "%f", got[2]);
+    const std::vector<double> counts = spread_requests(offers, 4);
+    cr_expect_float_eq(counts[0], 3, 1e-6, "%f", counts[0]);
+    cr_expect_float_eq(counts[1], 1, 1e-6, "%f", counts[1]);
+    cr_expect_float_eq(counts[2], 0, 1e-6, "%f", counts[2]);
 }
 
-// Until an answer has held a slot, requests seem to add no wait.
-Test(unseen_requests, requests_that_add_no_wait_are_spread_too)
+// Until a request has completed, the estimated time for which it occupies a
+// slot is zero, so that requests seem to add no wait.
+Test(unseen_requests, requests_that_add_no_wait_are_distributed)
 {
     const std::array<endpoint_offer, 2> offers{{{3, -1, 0}, {3, -1, 0}}};
-    const std::vector<double> got = spread_requests(offers, 10);
-    cr_expect_float_eq(got[0], 5, 1e-6, "%f", got[0]);
-    cr_expect_float_eq(got[1], 5, 1e-6, "%f", got[1]);
+    const std::vector<double> counts = spread_requests(offers, 10);
+    cr_expect_float_eq(counts[0], 5, 1e-6, "%f", counts[0]);
+    cr_expect_float_eq(counts[1], 5, 1e-6, "%f", counts[1]);
 }
 
-Test(unseen_requests, no_endpoint_gets_none)
+Test(unseen_requests, no_endpoints_yield_no_counts)
 {
     cr_expect(spread_requests({}, 3).empty());
 }
--- a/test/model/warming_fleet.hpp
+++ b/test/model/warming_fleet.hpp
@@ -1,6 +1,7 @@
-// Instances that find each other by gossip and send to one endpoint that warms
-// up, in virtual time, through cuts, freezes and restarts. Templated on the way
-// in which they share what it may get.
+// Model of instances that discover each other by gossip and send requests to
+// one endpoint that warms up, in virtual time, with network partitions, freezes
+// and restarts. The template parameter is the policy by which the instances
+// divide the endpoint's allowance.
 #pragma once
 
 #include "sycamorelock/core/direct/peers.hpp"
@@ -21,7 +22,7 @@
 namespace direct = sycamorelock::core::direct;
 using std::chrono::milliseconds;
 
-/// What an instance is told at its start.
+/// Configuration of an instance when it starts.
 struct sharing_setup
 {
     core::instance_id self;
@@ -31,7 +32,7 @@
     unsigned allowance = 0;
 };
 
-/// How an instance decides whether it may send one more request.
+/// Policy that decides whether an instance may send one more request.
 template <class S>
 concept allowance_sharing = std::constructible_from<S, const sharing_setup&> &&
     requires(S sharing, core::time_point now,
@@ -44,11 +45,11 @@
     {sharing.sent(now)};
 };
 
-/// Owners by rendezvous hashing, each with its part of every second.
-class shared_by_owners
+/// Divides the allowance by rendezvous hashing.
+class hashed_sharing
 {
   public:
-    explicit shared_by_owners(const sharing_setup& setup)
+    explicit hashed_sharing(const sharing_setup& setup)
         : setup_(setup), parts_(setup.self, setup.domain, setup.domains)
     {
     }
@@ -59,9 +60,9 @@
     }
     [[nodiscard]] bool admits(core::time_point now) const
     {
-        const unsigned part =
+        const unsigned share =
             parts_.own_part(now, setup_.endpoint, setup_.allowance);
-        return limits_.admits(now, setup_.endpoint, part, 0);
+        return limits_.admits(now, setup_.endpoint, share, 0);
     }
     void sent(core::time_point now) { limits_.sent(now, setup_.endpoint); }
 
@@ -71,11 +72,12 @@
     direct::slow_start limits_;
 };
 
-/// Each of the instances that live has an even part, one request at a time.
-class shared_evenly
+/// Divides the allowance evenly among the reachable instances, and sends single
+/// requests at the resulting interval.
+class even_sharing
 {
   public:
-    explicit shared_evenly(const sharing_setup& setup) : setup_(setup) {}
+    explicit even_sharing(const sharing_setup& setup) : setup_(setup) {}
     void set_members(core::time_point, const std::vector<direct::fleet_member>&,
                      std::size_t live)
     {
@@ -84,29 +86,30 @@
     }
     [[nodiscard]] bool admits(core::time_point now) const
     {
-        return now - sent_ >= interval_;
+        return now - last_sent_ >= interval_;
     }
-    void sent(core::time_point now) { sent_ = now; }
+    void sent(core::time_point now) { last_sent_ = now; }
 
   private:
     sharing_setup setup_;
     core::duration interval_{std::chrono::seconds(1)};
-    core::time_point sent_;
+    core::time_point last_sent_;
 };
 
+/// Requests that arrived at the endpoint.
 struct warming_result
 {
-    /// Most requests that arrived within one second.
-    unsigned worst = 0;
-    /// Arrivals as a part of what is allowed.
-    double used = 0;
+    /// Largest number of requests that arrived within one second.
+    unsigned max_per_second = 0;
+    /// Arrivals as a fraction of the allowance.
+    double utilization = 0;
 };
 
 template <allowance_sharing Sharing> class warming_fleet
 {
   public:
-    /// Whether two instances hear each other now.
-    using reach = std::function<bool(std::size_t, std::size_t)>;
+    /// Returns whether a message from the first instance reaches the second.
+    using reachability = std::function<bool(std::size_t, std::size_t)>;
 
     static constexpr std::size_t domain_count = 3;
 
@@ -137,21 +140,27 @@
         if (running_[index])
             running_[index]->awake_at = now_ + time;
     }
-    void set_reach(reach hears) { hears_ = std::move(hears); }
+    /// Sets which messages arrive; with an empty function all do.
+    void set_reachability(reachability reachable)
+    {
+        reachable_ = std::move(reachable);
+    }
     [[nodiscard]] std::size_t size() const { return running_.size(); }
 
-    /// Plays on. \param wish probability that an instance has a request for
-    /// the endpoint in a step of 10 ms.
-    void run(core::duration time, double wish)
+    /// Advances the virtual time.
+    /// \param request_probability In each step of 10 ms an instance may have as
+    /// many requests for the endpoint as the allowance; this is the probability
+    /// of each of them.
+    void run(core::duration time, double request_probability)
     {
         const core::time_point end = now_ + time;
         for (; now_ < end; now_ += step)
         {
             for (std::size_t i = 0; i < running_.size(); ++i)
-                play(i, wish);
+                step_instance(i, request_probability);
         }
     }
-    /// From here on arrivals count.
+    /// Discards the arrivals so far; the result covers the time from now on.
     void forget_arrivals()
     {
         arrivals_.clear();
@@ -159,20 +168,21 @@
     }
     [[nodiscard]] warming_result result() const
     {
-        warming_result made;
+        warming_result counted;
         std::size_t first = 0;
         for (std::size_t last = 0; last < arrivals_.size(); ++last)
         {
             while (arrivals_[last] - arrivals_[first] >=
                    std::chrono::seconds(1))
                 ++first;
-            made.worst =
-                std::max(made.worst, static_cast<unsigned>(last - first + 1));
+            counted.max_per_second =
+                std::max(counted.max_per_second,
+                         static_cast<unsigned>(last - first + 1));
         }
         const double seconds =
             std::chrono::duration<double>(now_ - counted_since_).count();
-        made.used = double(arrivals_.size()) / (seconds * allowance_);
-        return made;
+        counted.utilization = double(arrivals_.size()) / (seconds * allowance_);
+        return counted;
     }
 
   private:
@@ -198,7 +208,7 @@
         return core::domain_id::of("d" + std::to_string(index % domain_count));
     }
 
-    void play(std::size_t index, double wish)
+    void step_instance(std::size_t index, double request_probability)
     {
         if (!running_[index] || now_ < running_[index]->awake_at)
             return;
@@ -214,11 +224,11 @@
             self.sharing.set_members(now_, self.known.members(now_),
                                      self.known.live(now_));
         }
-        std::bernoulli_distribution wants(wish);
-        // The whole allowance may be wanted at one moment.
+        std::bernoulli_distribution has_request(request_probability);
+        // An instance may have as many requests at once as the whole allowance.
         for (unsigned i = 0; i < allowance_; ++i)
         {
-            if (!wants(random_) || !self.sharing.admits(now_))
+            if (!has_request(random_) || !self.sharing.admits(now_))
                 continue;
             self.sharing.sent(now_);
             arrivals_.push_back(now_);
@@ -232,7 +242,7 @@
         self.known.fill_report(now_, report);
         self.known.number(report);
         std::vector<std::string> targets = self.known.gossip_targets(now_);
-        // Who knows nobody asks the seeds.
+        // An instance that knows no other one sends to the seeds.
         if (targets.empty())
             targets = self.known.everyone();
         for (std::size_t to = 0; to < running_.size(); ++to)
@@ -241,7 +251,7 @@
                                              address_of(to)) != targets.end();
             const bool arrives = is_target && to != index && running_[to] &&
                                  now_ >= running_[to]->awake_at &&
-                                 (!hears_ || hears_(index, to));
+                                 (!reachable_ || reachable_(index, to));
             if (arrives)
                 running_[to]->known.heard(now_, report);
         }
@@ -255,7 +265,7 @@
     std::uint64_t incarnation_ = 0;
     std::set<core::domain_id> domains_;
     std::vector<std::unique_ptr<instance>> running_;
-    reach hears_;
+    reachability reachable_;
     std::vector<core::time_point> arrivals_;
 };
 
