--- a/packages/core/unittests/direct_load_test.cpp
+++ b/packages/core/unittests/direct_load_test.cpp
@@ -76,7 +76,7 @@
 // When the shares were computed from the configured throughput alone, and not
 // from the throughput that the engines reach, one of two flooding accounts got
 // three times the tokens of the other.
-Test(direct_load, two_flooding_accounts_get_similar_throughput)
+Test(direct_load, two_flooding_accounts_get_about_the_same)
 {
     direct_world world(atlas_plan());
     world.run(6);
@@ -326,7 +326,7 @@
 
 // All engines take three times as long as before at once, as after a release of
 // the service. Requests are on time again after a few seconds.
-Test(direct_load, a_slowdown_of_all_engines_is_learned)
+Test(direct_load, engines_that_turn_slow_are_learned)
 {
     direct_world world(letters_plan());
     world.run(6);
