--- a/packages/core/include/sycamorelock/core/direct/account_shares.hpp
+++ b/packages/core/include/sycamorelock/core/direct/account_shares.hpp
@@ -26,8 +26,7 @@
         served += other.served;
         return *this;
     }
-    /// Subtracts a demand that was added before. Rounding does not make the
-    /// result negative.
+    /// Subtracts a demand that was added before. The result is at least 0.
     account_demand& operator-=(const account_demand& other)
     {
         asked = std::max(0.0, asked - other.asked);
@@ -63,8 +62,9 @@
     static constexpr duration full_weight_age = std::chrono::milliseconds(300);
 
     /// Records a request, and returns its account's use of the fleet relative
-    /// to the account's share. \param throughput tokens per second that
-    /// operators configure; 0 if none are configured.
+    /// to the account's share.
+    /// \param throughput tokens per second that operators configure; 0 if
+    /// none are configured.
     account_standing ask(time_point now, account_id account, double tokens,
                          double throughput);
     /// Records that a request was sent to an endpoint.
@@ -72,11 +72,11 @@
 
     /// Merges the report of an instance, or of an aggregator that sums those of
     /// several instances. An average cannot fall faster than its exponential
-    /// decay, so a lower reported value is replaced by the decayed previous
-    /// one. This covers an aggregator that has just started and knows only a
-    /// part of the fleet: without it, 79
-    /// instances sent 2.8 million tokens of one account in one second when an
-    /// aggregator was replaced, and the account was owed a twentieth of them.
+    /// decay, so a reported value below the decayed previous one is replaced by
+    /// that. This covers an aggregator that has just started and knows only a
+    /// part of the fleet: without it, 79 instances sent 2.8 million tokens of
+    /// one account in one second when an aggregator was replaced, and the
+    /// account was owed a twentieth of them.
     void report(time_point now, instance_id from,
                 const std::vector<account_demand>& demands);
     /// Returns the demands through this instance of at least one token per
