--- a/test/model/direct_world.cpp
+++ b/test/model/direct_world.cpp
@@ -1,4 +1,4 @@
-// Arrivals, engines and reports in steps of a few ms.
+// The simulation advances arrivals, engines and reports in fixed time steps.
 #include "direct_world.hpp"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
     return "engine-" + std::to_string(index);
 }
 
-const core::service_id planner = core::service_id::of("planner");
+const core::service_id engine_service = core::service_id::of("planner");
 
 } // namespace
 
@@ -66,10 +66,10 @@
     plan.routers = 40;
     plan.engines = 90;
     plan.tokens_per_second *= 5;
-    for (request_kind& kind : plan.kinds)
+    for (request_kind& type : plan.kinds)
     {
-        kind.per_second *= 5;
-        kind.subjects *= 5;
+        type.per_second *= 5;
+        type.distinct_prefixes *= 5;
     }
     plan.report_delay_ms = 200;
     return plan;
@@ -89,50 +89,50 @@
 }
 
 direct_world::direct_world(world_plan plan)
-    : plan_(std::move(plan)), random_(plan_.seed),
+    : plan_(std::move(plan)), generator_(plan_.seed),
       config_(std::make_shared<direct::catalogue>()),
-      listed_(plan_.engines, true), sent_(plan_.engines, 0)
+      is_listed_(plan_.engines, true), sent_to_engine_(plan_.engines, 0)
 {
     config_->version = 1;
     direct::service service;
-    service.id = planner;
+    service.id = engine_service;
     service.name = "planner";
     service.memory_tokens = plan_.figures.memory_tokens;
     service.token_bytes = plan_.token_bytes;
     service.link_bytes_per_ms = plan_.link_bytes_per_ms;
-    config_->services[planner] = service;
-    for (const request_kind& kind : plan_.kinds)
+    config_->services[engine_service] = service;
+    for (const request_kind& type : plan_.kinds)
     {
-        direct::route way;
-        way.name = kind.name;
-        way.kind = direct::route_kind::stream;
-        way.objective =
-            core::direct::milliseconds(static_cast<long>(kind.objective_ms));
-        way.timeout =
-            core::direct::milliseconds(static_cast<long>(kind.deadline_ms));
-        way.targets = {{planner, 1}};
-        config_->routes.push_back(way);
+        direct::route route;
+        route.name = type.name;
+        route.kind = direct::route_kind::stream;
+        route.objective =
+            core::direct::milliseconds(static_cast<long>(type.objective_ms));
+        route.timeout =
+            core::direct::milliseconds(static_cast<long>(type.deadline_ms));
+        route.targets = {{engine_service, 1}};
+        config_->routes.push_back(route);
     }
     config_->limits.tokens_per_second = plan_.tokens_per_second;
     config_->index();
     for (std::size_t i = 0; i < plan_.engines; ++i)
         engines_.push_back(std::make_unique<engine_model>(
             plan_.figures,
-            [this](std::uint64_t id, double ms) { on_first(id, ms); },
-            [this](std::uint64_t id, double ms) { on_end(id, ms); }));
+            [this](std::uint64_t id, double ms) { on_first_token(id, ms); },
+            [this](std::uint64_t id, double ms) { on_completed(id, ms); }));
     for (std::size_t i = 0; i < plan_.routers; ++i)
     {
         direct::router_options options;
         options.seed = plan_.seed + i;
         options.mechanisms = plan_.mechanisms;
         routers_.push_back(std::make_unique<direct::router>(options));
-        routers_.back()->install(at(0), config_);
+        routers_.back()->install(to_time_point(0), config_);
         routers_.back()->set_fleet_size(plan_.routers);
     }
-    list_engines();
+    publish_engines();
 }
 
-core::time_point direct_world::at(double ms) const
+core::time_point direct_world::to_time_point(double ms) const
 {
     static constexpr double per_ms = 1000;
     static constexpr long start_us = 1'000'000'000;
@@ -140,161 +140,171 @@
         core::duration(start_us + static_cast<long>(ms * per_ms)));
 }
 
-void direct_world::list_engines()
+void direct_world::publish_engines()
 {
-    std::map<std::string, direct::endpoint_record> all;
+    std::map<std::string, direct::endpoint_record> records;
     for (std::size_t i = 0; i < plan_.engines; ++i)
     {
-        if (!listed_[i])
+        if (!is_listed_[i])
             continue;
         direct::endpoint_record record;
         record.boot = engine_name(i);
-        record.service = planner;
+        record.service = engine_service;
         record.slots = plan_.figures.slots;
         record.address = record.boot + ":1";
-        all[record.boot] = record;
+        records[record.boot] = record;
     }
     for (auto& router : routers_)
-        router->set_endpoints(at(now_ms_), all);
+        router->set_endpoints(to_time_point(now_ms_), records);
 }
 
 void direct_world::set_account_factor(const std::string& name, double factor)
 {
-    factors_[name] = factor;
+    account_factors_[name] = factor;
 }
 
 void direct_world::crash_engines(std::size_t first, std::size_t count)
 {
     for (std::size_t i = first; i < first + count; ++i)
-        listed_[i] = false;
-    for (auto it = open_.begin(); it != open_.end();)
+        is_listed_[i] = false;
+    for (auto it = open_requests_.begin(); it != open_requests_.end();)
     {
-        const bool gone = !listed_[it->second.engine];
-        if (gone)
+        const bool on_crashed_engine = !is_listed_[it->second.engine];
+        if (on_crashed_engine)
         {
             engines_[it->second.engine]->cancel(it->first);
             routers_[it->second.router]->finished(
-                at(now_ms_), it->second.placed,
+                to_time_point(now_ms_), it->second.placed,
                 direct::attempt_outcome::failed);
         }
-        it = gone ? open_.erase(it) : std::next(it);
+        it = on_crashed_engine ? open_requests_.erase(it) : std::next(it);
     }
-    list_engines();
+    publish_engines();
 }
 
 void direct_world::slow_engines(std::size_t first, std::size_t count,
                                 double slowness)
 {
     for (std::size_t i = first; i < first + count; ++i)
-        engines_[i]->set_slowness(slowness);
+        engines_[i]->set_slowdown(slowness);
 }
 
 void direct_world::forget_results()
 {
-    kinds_.clear();
-    accounts_.clear();
-    served_.clear();
-    misses_.clear();
-    std::fill(sent_.begin(), sent_.end(), 0U);
+    type_counts_.clear();
+    account_counts_.clear();
+    served_tokens_.clear();
+    prediction_errors_.clear();
+    std::fill(sent_to_engine_.begin(), sent_to_engine_.end(), 0U);
 }
 
 void direct_world::run(double seconds)
 {
     static constexpr double ms_per_second = 1000;
-    const double end = now_ms_ + seconds * ms_per_second;
-    while (now_ms_ < end)
+    const double end_ms = now_ms_ + seconds * ms_per_second;
+    while (now_ms_ < end_ms)
     {
         now_ms_ += tick_ms;
         for (std::size_t i = 0; i < plan_.kinds.size(); ++i)
         {
-            std::poisson_distribution<int> arrivals(
-                plan_.kinds[i].per_second * traffic_ * tick_ms / ms_per_second);
-            for (int n = arrivals(random_); n > 0; --n)
-                arrive(plan_.kinds[i], i);
+            std::poisson_distribution<int> arrivals(plan_.kinds[i].per_second *
+                                                    traffic_factor_ * tick_ms /
+                                                    ms_per_second);
+            for (int n = arrivals(generator_); n > 0; --n)
+                generate_requests(plan_.kinds[i], i);
         }
-        deliver();
+        submit_due_requests();
         for (auto& engine : engines_)
             engine->run_until(now_ms_);
-        exchange();
+        exchange_reports();
     }
 }
 
-void direct_world::arrive(const request_kind& kind, std::size_t way)
+void direct_world::generate_requests(const request_kind& type,
+                                     std::size_t route_index)
 {
     std::vector<double> weights;
     for (const account_load& account : plan_.accounts)
     {
-        const auto factor = factors_.find(account.name);
-        weights.push_back(account.share *
-                          (factor == factors_.end() ? 1 : factor->second));
+        const auto factor = account_factors_.find(account.name);
+        weights.push_back(
+            account.traffic_weight *
+            (factor == account_factors_.end() ? 1 : factor->second));
     }
-    // A flood adds to the traffic; it does not take from the others.
-    double usual = 0;
-    double all = 0;
+    // The factor of an account adds requests to the total; the other accounts
+    // keep their request rates.
+    double nominal_weight = 0;
+    double total_weight = 0;
     for (std::size_t i = 0; i < weights.size(); ++i)
     {
-        usual += plan_.accounts[i].share;
-        all += weights[i];
+        nominal_weight += plan_.accounts[i].traffic_weight;
+        total_weight += weights[i];
     }
-    std::discrete_distribution<std::size_t> draw(weights.begin(),
-                                                 weights.end());
-    std::poisson_distribution<int> copies(all / usual);
-    for (int n = copies(random_); n > 0; --n)
+    std::discrete_distribution<std::size_t> account_index(weights.begin(),
+                                                          weights.end());
+    std::poisson_distribution<int> requests_per_arrival(total_weight /
+                                                        nominal_weight);
+    for (int n = requests_per_arrival(generator_); n > 0; --n)
     {
-        open_request made;
-        made.account = plan_.accounts[draw(random_)].name;
-        made.kind = kind.name;
-        made.objective_ms = kind.objective_ms;
-        made.arrived_ms = now_ms_;
-        std::uniform_int_distribution<unsigned> subject(0, kind.subjects - 1);
-        std::bernoulli_distribution hot(way == 0 ? hot_ : 0);
-        const unsigned about = hot(random_) ? 0 : subject(random_);
-        std::exponential_distribution<double> own(1 / kind.own_tokens);
-        const double own_tokens = 50 + own(random_);
+        open_request request;
+        request.account = plan_.accounts[account_index(generator_)].name;
+        request.type = type.name;
+        request.objective_ms = type.objective_ms;
+        request.arrived_ms = now_ms_;
+        std::uniform_int_distribution<unsigned> any_prefix(
+            0, type.distinct_prefixes - 1);
+        std::bernoulli_distribution is_hot_prompt(
+            route_index == 0 ? hot_prompt_share_ : 0);
+        const unsigned prefix =
+            is_hot_prompt(generator_) ? 0 : any_prefix(generator_);
+        std::exponential_distribution<double> unique_length(
+            1 / type.mean_unique_tokens);
+        const double unique_tokens = 50 + unique_length(generator_);
         const std::uint64_t id = next_id_++;
         std::uint64_t key =
-            direct::extend_key(0, kind.name + '/' + std::to_string(about));
-        if (kind.described)
+            direct::extend_key(0, type.name + '/' + std::to_string(prefix));
+        if (type.describes_prompt)
         {
-            made.profile.parts = {{key, kind.shared_tokens}};
+            request.profile.parts = {{key, type.shared_tokens}};
             key = direct::extend_key(key, std::to_string(id));
-            made.profile.parts.push_back({key, own_tokens});
-            made.profile.prompt_tokens = kind.shared_tokens + own_tokens;
-            made.profile.output_tokens = kind.output_tokens;
+            request.profile.parts.push_back({key, unique_tokens});
+            request.profile.prompt_tokens = type.shared_tokens + unique_tokens;
+            request.profile.output_tokens = type.output_tokens;
         }
-        made.profile.way = &config_->routes[way];
-        made.profile.account = core::account_id::of(made.account);
-        made.profile.arrived = at(now_ms_);
-        made.profile.deadline = at(now_ms_ + kind.deadline_ms);
-        made.tokens = made.profile.share_tokens();
-        std::uniform_int_distribution<std::size_t> through(0,
-                                                           routers_.size() - 1);
-        made.router = through(random_);
-        direct::router& router = *routers_[made.router];
-        ++kinds_[made.kind].asked;
-        ++accounts_[made.account].asked;
-        router.admit(at(now_ms_), made.profile);
-        auto decided =
-            router.decide(at(now_ms_), made.profile, planner, {}, false);
+        request.profile.way = &config_->routes[route_index];
+        request.profile.account = core::account_id::of(request.account);
+        request.profile.arrived = to_time_point(now_ms_);
+        request.profile.deadline = to_time_point(now_ms_ + type.deadline_ms);
+        request.tokens = request.profile.share_tokens();
+        std::uniform_int_distribution<std::size_t> router_index(
+            0, routers_.size() - 1);
+        request.router = router_index(generator_);
+        direct::router& router = *routers_[request.router];
+        ++type_counts_[request.type].asked;
+        ++account_counts_[request.account].asked;
+        router.admit(to_time_point(now_ms_), request.profile);
+        auto decided = router.decide(to_time_point(now_ms_), request.profile,
+                                     engine_service, {}, false);
         auto* placed = std::get_if<direct::placement_decision>(&decided);
         if (placed == nullptr)
         {
-            ++kinds_[made.kind].refused;
-            kinds_[made.kind].refused_with_slots += has_free_slots() ? 1 : 0;
-            ++accounts_[made.account].refused;
+            ++type_counts_[request.type].refused;
+            type_counts_[request.type].refused_with_slots +=
+                has_free_slots() ? 1 : 0;
+            ++account_counts_[request.account].refused;
             continue;
         }
-        made.placed = *placed;
-        made.sent = at(now_ms_);
-        made.engine = engine_of(placed->hold.endpoint);
-        ++sent_[made.engine];
-        router.sent(at(now_ms_), made.profile, made.placed);
-        send(made, id, kind.output_tokens);
-        open_.emplace(id, std::move(made));
+        request.placed = *placed;
+        request.sent = to_time_point(now_ms_);
+        request.engine = engine_index(placed->hold.endpoint);
+        ++sent_to_engine_[request.engine];
+        router.sent(to_time_point(now_ms_), request.profile, request.placed);
+        schedule_submission(request, id, type.output_tokens);
+        open_requests_.emplace(id, std::move(request));
     }
 }
 
-std::size_t direct_world::engine_of(core::endpoint_id id) const
+std::size_t direct_world::engine_index(core::endpoint_id id) const
 {
     for (std::size_t i = 0; i < plan_.engines; ++i)
     {
@@ -306,56 +316,62 @@
 
 bool direct_world::has_free_slots() const
 {
-    static constexpr unsigned part = 4;
+    // An engine counts as free if at least one in four of its slots is.
+    static constexpr unsigned free_divisor = 4;
     for (std::size_t i = 0; i < plan_.engines; ++i)
     {
-        const std::size_t most =
-            plan_.figures.slots - plan_.figures.slots / part;
-        if (listed_[i] && engines_[i]->open() <= most)
+        const std::size_t max_open_requests =
+            plan_.figures.slots - plan_.figures.slots / free_divisor;
+        if (is_listed_[i] && engines_[i]->open_requests() <= max_open_requests)
             return true;
     }
     return false;
 }
 
-void direct_world::send(const open_request& made, std::uint64_t id,
-                        double output_tokens)
+void direct_world::schedule_submission(const open_request& request,
+                                       std::uint64_t id, double output_tokens)
 {
-    delivery sent;
-    sent.engine = made.engine;
-    sent.request = {id, made.profile.parts, made.profile.prompt_tokens,
-                    output_tokens};
-    sent.due_ms = now_ms_;
-    if (made.placed.fetch)
+    pending_submission pending;
+    pending.engine = request.engine;
+    pending.request = {id, request.profile.parts, request.profile.prompt_tokens,
+                       output_tokens};
+    pending.due_ms = now_ms_;
+    if (request.placed.fetch)
     {
-        // What the source does not keep is read.
-        const auto& source = engines_[engine_of(made.placed.fetch->source)];
-        const double here = engines_[made.engine]->kept(made.profile.parts);
-        const double there = source->kept(made.profile.parts);
-        sent.fetched = there;
-        sent.due_ms += made.placed.fetch->transfer_ms;
-        fetched_ += std::max(0.0, there - here);
+        // Fetches only what the source has cached now. The engine prefills the
+        // rest of the prompt.
+        const auto& source =
+            engines_[engine_index(request.placed.fetch->source)];
+        const double cached = engines_[request.engine]->cached_prefix_tokens(
+            request.profile.parts);
+        const double cached_at_source =
+            source->cached_prefix_tokens(request.profile.parts);
+        pending.fetched_tokens = cached_at_source;
+        pending.due_ms += request.placed.fetch->transfer_ms;
+        tokens_fetched_ += std::max(0.0, cached_at_source - cached);
     }
-    deliveries_.push_back(std::move(sent));
+    pending_submissions_.push_back(std::move(pending));
 }
 
-void direct_world::deliver()
+void direct_world::submit_due_requests()
 {
     const auto due = std::stable_partition(
-        deliveries_.begin(), deliveries_.end(),
-        [this](const delivery& each) { return each.due_ms > now_ms_; });
-    for (auto it = due; it != deliveries_.end(); ++it)
+        pending_submissions_.begin(), pending_submissions_.end(),
+        [this](const pending_submission& each)
+        { return each.due_ms > now_ms_; });
+    for (auto it = due; it != pending_submissions_.end(); ++it)
     {
         engine_model& engine = *engines_[it->engine];
-        engine.receive(it->request.parts, it->fetched);
-        if (open_.contains(it->request.id))
+        engine.add_fetched_prefix(it->request.parts, it->fetched_tokens);
+        if (open_requests_.contains(it->request.id))
             engine.submit(it->request);
     }
-    deliveries_.erase(due, deliveries_.end());
+    pending_submissions_.erase(due, pending_submissions_.end());
 }
 
 double direct_world::median_miss() const
 {
-    std::vector<double> sorted = misses_;
+    std::vector<double> sorted = prediction_errors_;
     if (sorted.empty())
         return 0;
     const auto middle =
@@ -364,74 +380,77 @@
     return *middle;
 }
 
-void direct_world::on_first(std::uint64_t id, double at_ms)
+void direct_world::on_first_token(std::uint64_t id, double at_ms)
 {
-    const auto found = open_.find(id);
-    if (found == open_.end())
+    const auto found = open_requests_.find(id);
+    if (found == open_requests_.end())
         return;
     open_request& request = found->second;
-    routers_[request.router]->first_token(at(at_ms), request.profile,
+    routers_[request.router]->first_token(to_time_point(at_ms), request.profile,
                                           request.placed, request.sent);
-    const double took_ms = std::max(1.0, at_ms - request.arrived_ms);
-    misses_.push_back(std::abs(request.placed.predicted_ms - took_ms) /
-                      took_ms);
+    const double observed_ms = std::max(1.0, at_ms - request.arrived_ms);
+    prediction_errors_.push_back(
+        std::abs(request.placed.predicted_ms - observed_ms) / observed_ms);
     const bool on_time = at_ms - request.arrived_ms <= request.objective_ms;
-    unsigned kind_result::*const field =
+    unsigned kind_result::*const counter =
         on_time ? &kind_result::on_time : &kind_result::late;
-    ++(kinds_[request.kind].*field);
-    ++(accounts_[request.account].*field);
-    served_[request.account] += request.tokens;
+    ++(type_counts_[request.type].*counter);
+    ++(account_counts_[request.account].*counter);
+    served_tokens_[request.account] += request.tokens;
 }
 
-void direct_world::on_end(std::uint64_t id, double at_ms)
+void direct_world::on_completed(std::uint64_t id, double at_ms)
 {
-    const auto found = open_.find(id);
-    if (found == open_.end())
+    const auto found = open_requests_.find(id);
+    if (found == open_requests_.end())
         return;
     routers_[found->second.router]->finished(
-        at(at_ms), found->second.placed, direct::attempt_outcome::succeeded);
-    open_.erase(found);
+        to_time_point(at_ms), found->second.placed,
+        direct::attempt_outcome::succeeded);
+    open_requests_.erase(found);
 }
 
-void direct_world::exchange()
+void direct_world::exchange_reports()
 {
-    const bool regular = now_ms_ >= next_report_ms_;
-    if (regular)
+    const bool is_periodic = now_ms_ >= next_report_ms_;
+    if (is_periodic)
         next_report_ms_ = now_ms_ + plan_.report_period_ms;
     for (std::size_t i = 0; i < routers_.size(); ++i)
     {
-        if (!regular && !routers_[i]->report_is_urgent())
+        if (!is_periodic && !routers_[i]->report_is_urgent())
             continue;
         direct::exchange_report report;
         report.sender = "router-" + std::to_string(i);
-        routers_[i]->fill_report(at(now_ms_), report);
-        mails_.push_back(
+        routers_[i]->fill_report(to_time_point(now_ms_), report);
+        pending_reports_.push_back(
             {now_ms_ + plan_.report_delay_ms, i, std::move(report)});
     }
-    const auto due = std::stable_partition(mails_.begin(), mails_.end(),
-                                           [this](const mail& each)
-                                           { return each.due_ms > now_ms_; });
-    for (auto it = due; it != mails_.end(); ++it)
+    const auto due = std::stable_partition(
+        pending_reports_.begin(), pending_reports_.end(),
+        [this](const pending_report& each) { return each.due_ms > now_ms_; });
+    for (auto it = due; it != pending_reports_.end(); ++it)
     {
         for (std::size_t to = 0; to < routers_.size(); ++to)
         {
-            const bool apart = cut_ > 0 && (it->from < cut_) != (to < cut_);
-            if (to != it->from && !apart)
-                routers_[to]->on_report(at(now_ms_), it->report);
+            const bool is_partitioned =
+                partition_at_ > 0 &&
+                (it->from < partition_at_) != (to < partition_at_);
+            if (to != it->from && !is_partitioned)
+                routers_[to]->on_report(to_time_point(now_ms_), it->report);
         }
     }
-    mails_.erase(due, mails_.end());
+    pending_reports_.erase(due, pending_reports_.end());
 }
 
 const kind_result& direct_world::of_kind(const std::string& name) const
 {
-    return kinds_.at(name);
+    return type_counts_.at(name);
 }
 
 kind_result direct_world::of_all_kinds() const
 {
     kind_result sum;
-    for (const auto& [name, result] : kinds_)
+    for (const auto& [name, result] : type_counts_)
     {
         sum.asked += result.asked;
         sum.on_time += result.on_time;
@@ -444,13 +463,13 @@
 
 const kind_result& direct_world::of_account(const std::string& name) const
 {
-    return accounts_.at(name);
+    return account_counts_.at(name);
 }
 
 double direct_world::served_tokens(const std::string& account) const
 {
-    const auto found = served_.find(account);
-    return found == served_.end() ? 0 : found->second;
+    const auto found = served_tokens_.find(account);
+    return found == served_tokens_.end() ? 0 : found->second;
 }
 
 double direct_world::shared_read_again() const
@@ -473,7 +492,7 @@
 {
     unsigned sum = 0;
     for (std::size_t i = first; i < first + count; ++i)
-        sum += sent_[i];
+        sum += sent_to_engine_[i];
     return sum;
 }
 
--- a/test/model/direct_world.hpp
+++ b/test/model/direct_world.hpp
@@ -1,5 +1,6 @@
-// Several routers before model engines, with callers, delayed reports between
-// the routers and no network. Drives the decisions through load patterns.
+// Simulation of a fleet: callers, routers that exchange delayed reports, and
+// model engines, in one process and without a network. Runs the routing
+// decisions under load patterns.
 #pragma once
 
 #include "engine_model.hpp"
@@ -16,115 +17,153 @@
 namespace direct = sycamorelock::core::direct;
 namespace core = sycamorelock::core;
 
-/// A kind of request, after the deployments of today.
+/// A type of request. Each type has its own route. The predefined values are
+/// those of current deployments.
 struct request_kind
 {
     std::string name;
     double per_second = 0;
+    /// Length of the prompt prefix that requests have in common.
     double shared_tokens = 0;
-    double own_tokens = 0;
+    /// Mean of the exponential distribution of the rest of the prompt, to which
+    /// a minimum of 50 tokens is added.
+    double mean_unique_tokens = 0;
     double output_tokens = 0;
-    unsigned subjects = 1;
+    /// Number of different shared prefixes. Each request draws one of them.
+    unsigned distinct_prefixes = 1;
+    /// Objective for the time to first token.
     double objective_ms = 0;
+    /// Time after which the caller gives up.
     double deadline_ms = 0;
-    /// Callers describe the prompt.
-    bool described = true;
+    /// Whether requests carry the description of the prompt: its parts and
+    /// token counts. Without it the router can neither predict the prefill nor
+    /// the cached prefix.
+    bool describes_prompt = true;
 };
 
+/// Traffic of a client account.
 struct account_load
 {
     std::string name;
-    /// Share of the traffic.
-    double share = 1;
+    /// Weight of the account in the total traffic.
+    double traffic_weight = 1;
 };
 
+/// Configuration of a simulation.
 struct world_plan
 {
     std::size_t routers = 8;
     std::size_t engines = 18;
+    /// Configured throughput of all engines, as routers know it: prompt tokens
+    /// count once, generated tokens twice. Zero: not configured.
     double tokens_per_second = 560000;
     std::vector<request_kind> kinds;
     std::vector<account_load> accounts;
     std::uint64_t seed = 1;
-    /// Time that a report takes to the other routers.
+    /// Time until a report reaches the other routers.
     double report_delay_ms = 5;
     double report_period_ms = 100;
-    engine_figures figures;
-    /// Memory of a token, and the link between engines; without them prompts
-    /// cannot be fetched.
+    engine_parameters figures;
+    /// Size of a token in the KV cache, and bandwidth of an engine's link to
+    /// the others. Engines cannot fetch prefixes from each other if either is
+    /// zero.
     double token_bytes = 0;
     double link_bytes_per_ms = 0;
     direct::mechanism_set mechanisms;
 };
 
-/// Atlas at its usual load.
+/// The deployment "atlas" at its nominal load.
 world_plan atlas_plan();
 
-/// Drafts of letters: faster engines, half as many, with a link between them,
-/// and short requests beside prompts of up to 50,000 tokens.
+/// A deployment that drafts letters: half as many engines, which are faster and
+/// can fetch prefixes from each other, and short requests beside prompts of up
+/// to 50,000 tokens.
 world_plan letters_plan();
 
-/// A large fleet before two engines of eight slots. Callers describe no prompts
-/// and ask for more than the engines can run.
+/// A large fleet of routers for two engines with eight slots each. Requests
+/// carry no description of their prompts and exceed the engines' capacity.
 world_plan undescribed_plan();
 
-/// Five times as large: news of other routers comes by way of aggregators.
+/// The deployment "atlas" five times as large. The report delay is that of
+/// reports that aggregators relay.
 world_plan large_plan();
 
+/// Counts of requests by outcome.
 struct kind_result
 {
+    /// All requests that callers sent to a router.
     unsigned asked = 0;
+    /// First token within the objective, or after it.
     unsigned on_time = 0;
     unsigned late = 0;
     unsigned refused = 0;
-    /// Of these, with slots free at an engine: at least a quarter of them.
+    /// Refused requests during which an engine had at least a quarter of its
+    /// slots free.
     unsigned refused_with_slots = 0;
 };
 
+/// A simulated fleet that runs in its own time, and the results of its
+/// requests.
 class direct_world
 {
   public:
     explicit direct_world(world_plan plan);
 
-    /// Plays on for a while.
+    /// Advances the simulation.
     void run(double seconds);
 
-    // Patterns, in force until changed.
-    void set_traffic(double factor) { traffic_ = factor; }
+    // Load patterns and faults. They remain in effect until changed.
+
+    /// Multiplies the request rate of all request types.
+    void set_traffic(double factor) { traffic_factor_ = factor; }
+    /// Multiplies the request rate of one client account. The rates of the
+    /// others do not change.
     void set_account_factor(const std::string& name, double factor);
-    /// Share of the first kind's requests that are about one subject.
-    void set_hot_subject(double share) { hot_ = share; }
+    /// Sets the share of requests of the first type that use one particular
+    /// shared prefix. The others draw theirs at random.
+    void set_hot_subject(double share) { hot_prompt_share_ = share; }
+    /// Number of engines.
     [[nodiscard]] std::size_t engines() const { return plan_.engines; }
-    /// Removes engines from the listing and ends what they run.
+    /// Removes engines from the endpoint listing. Their open requests fail.
     void crash_engines(std::size_t first, std::size_t count);
+    /// Multiplies the duration of the engines' steps.
     void slow_engines(std::size_t first, std::size_t count, double slowness);
-    /// Routers below and above this index do not hear each other.
-    void cut_routers_at(std::size_t index) { cut_ = index; }
-    void heal() { cut_ = 0; }
+    /// Partitions the network: reports between routers below this index and the
+    /// others are lost. Reports in transit are lost too.
+    void cut_routers_at(std::size_t index) { partition_at_ = index; }
+    void heal_partition() { partition_at_ = 0; }
+    /// Resets all results except the token counts of engines and transfers,
+    /// which count from the start of the simulation.
     void forget_results();
 
     [[nodiscard]] const kind_result& of_kind(const std::string& name) const;
     [[nodiscard]] kind_result of_all_kinds() const;
     [[nodiscard]] const kind_result& of_account(const std::string& name) const;
-    /// Tokens of requests that an account got served.
+    /// Tokens of the account's requests that got a first token: prompt tokens
+    /// count once, generated tokens twice.
     [[nodiscard]] double served_tokens(const std::string& account) const;
+    /// Prompt tokens of shared prefixes that engines prefilled again after
+    /// their KV cache had evicted them.
     [[nodiscard]] double shared_read_again() const;
+    /// Prompt tokens that engines have prefilled.
     [[nodiscard]] double tokens_read() const;
-    /// Tokens fetched from other engines.
-    [[nodiscard]] double tokens_fetched() const { return fetched_; }
-    /// Median of what predictions of first tokens missed, as a share of what
-    /// was seen.
+    /// Prompt tokens that engines fetched from other engines' KV caches.
+    [[nodiscard]] double tokens_fetched() const { return tokens_fetched_; }
+    /// Median relative error of the predicted time to first token:
+    /// abs(predicted - observed) / observed.
     [[nodiscard]] double median_miss() const;
-    /// Requests sent to engines of an index range since the last reset.
+    /// Requests sent to a range of engines since results were last reset.
     [[nodiscard]] unsigned sent_to(std::size_t first, std::size_t count) const;
 
   private:
+    /// A request that was placed and has not ended.
     struct open_request
     {
         std::size_t router = 0;
         std::size_t engine = 0;
-        std::string kind;
+        std::string type;
         std::string account;
+        /// Prompt tokens, and generated tokens twice.
         double tokens = 0;
         double objective_ms = 0;
         double arrived_ms = 0;
@@ -132,55 +171,65 @@
         direct::request_profile profile;
         direct::placement_decision placed;
     };
-    struct mail
+    /// A report in transit.
+    struct pending_report
     {
         double due_ms = 0;
         std::size_t from = 0;
         direct::exchange_report report;
     };
 
-    /// A request on its way to an engine, which may fetch its prompt first.
-    struct delivery
+    /// A request that the engine receives at `due_ms`, after any fetch of its
+    /// prefix from another engine.
+    struct pending_submission
     {
         double due_ms = 0;
         std::size_t engine = 0;
         engine_request request;
-        double fetched = 0;
+        double fetched_tokens = 0;
     };
 
-    void arrive(const request_kind& kind, std::size_t way);
+    /// Generates the requests of one arrival event: one on average, and more
+    /// if factors of client accounts raise the traffic.
+    void generate_requests(const request_kind& type, std::size_t route_index);
+    /// Whether a listed engine has at least a quarter of its slots free.
     [[nodiscard]] bool has_free_slots() const;
-    void send(const open_request& made, std::uint64_t id, double output_tokens);
-    void deliver();
-    [[nodiscard]] std::size_t engine_of(core::endpoint_id id) const;
-    void on_first(std::uint64_t id, double at_ms);
-    void on_end(std::uint64_t id, double at_ms);
-    void exchange();
-    void list_engines();
-    [[nodiscard]] core::time_point at(double ms) const;
+    void schedule_submission(const open_request& request, std::uint64_t id,
+                             double output_tokens);
+    void submit_due_requests();
+    /// Index of the engine with this endpoint ID; 0 if there is none.
+    [[nodiscard]] std::size_t engine_index(core::endpoint_id id) const;
+    void on_first_token(std::uint64_t id, double at_ms);
+    void on_completed(std::uint64_t id, double at_ms);
+    /// Collects due and urgent reports, and delivers those whose delay is over.
+    void exchange_reports();
+    /// Gives all routers the current endpoint listing.
+    void publish_engines();
+    [[nodiscard]] core::time_point to_time_point(double ms) const;
 
     world_plan plan_;
-    std::mt19937_64 random_;
+    std::mt19937_64 generator_;
     double now_ms_ = 0;
     double next_report_ms_ = 0;
-    double traffic_ = 1;
-    double hot_ = 0;
-    std::size_t cut_ = 0;
+    double traffic_factor_ = 1;
+    double hot_prompt_share_ = 0;
+    /// Index of the first router of the second partition; 0: no partition.
+    std::size_t partition_at_ = 0;
     std::uint64_t next_id_ = 1;
     std::shared_ptr<direct::catalogue> config_;
     std::vector<std::unique_ptr<direct::router>> routers_;
     std::vector<std::unique_ptr<engine_model>> engines_;
-    std::vector<bool> listed_;
-    std::vector<mail> mails_;
-    std::vector<delivery> deliveries_;
-    double fetched_ = 0;
-    std::vector<double> misses_;
-    std::map<std::uint64_t, open_request> open_;
-    std::map<std::string, double> factors_;
-    std::map<std::string, kind_result> kinds_;
-    std::map<std::string, kind_result> accounts_;
-    std::map<std::string, double> served_;
-    std::vector<unsigned> sent_;
+    std::vector<bool> is_listed_;
+    std::vector<pending_report> pending_reports_;
+    std::vector<pending_submission> pending_submissions_;
+    double tokens_fetched_ = 0;
+    std::vector<double> prediction_errors_;
+    std::map<std::uint64_t, open_request> open_requests_;
+    std::map<std::string, double> account_factors_;
+    std::map<std::string, kind_result> type_counts_;
+    std::map<std::string, kind_result> account_counts_;
+    std::map<std::string, double> served_tokens_;
+    std::vector<unsigned> sent_to_engine_;
 };
 
 } // namespace model
--- a/test/model/engine_model.cpp
+++ b/test/model/engine_model.cpp
@@ -1,4 +1,4 @@
-// One step after another.
+// Each step prefills a chunk and decodes one token per request of the batch.
 #include "engine_model.hpp"
 
 #include <algorithm>
@@ -6,10 +6,10 @@
 namespace model
 {
 
-engine_model::engine_model(engine_figures figures, listener on_first,
-                           listener on_end)
-    : figures_(figures), on_first_(std::move(on_first)),
-      on_end_(std::move(on_end))
+engine_model::engine_model(engine_parameters parameters,
+                           listener on_first_token, listener on_completed)
+    : parameters_(parameters), on_first_token_(std::move(on_first_token)),
+      on_completed_(std::move(on_completed))
 {
 }
 
@@ -22,52 +22,53 @@
 {
     std::erase_if(waiting_,
                   [id](const engine_request& r) { return r.id == id; });
-    batch_.remove_if([id](const running& r) { return r.request.id == id; });
+    batch_.remove_if([id](const running_request& r)
+                     { return r.request.id == id; });
 }
 
-double engine_model::use_cache(const engine_request& request)
+double engine_model::look_up_and_insert(const engine_request& request)
 {
     double cached = 0;
-    bool kept = true;
+    bool prefix_cached = true;
     for (std::size_t i = 0; i < request.parts.size(); ++i)
     {
         const auto& part = request.parts[i];
         const auto found = index_.find(part.key);
         if (found != index_.end())
         {
-            cached += kept ? part.tokens : 0;
-            order_.splice(order_.begin(), order_, found->second);
+            cached += prefix_cached ? part.tokens : 0;
+            lru_.splice(lru_.begin(), lru_, found->second);
             continue;
         }
-        kept = false;
+        prefix_cached = false;
         const bool shared = i + 1 < request.parts.size();
-        if (shared && ever_read_[part.key])
-            read_again_ += part.tokens;
-        keep(part);
+        if (shared && ever_cached_[part.key])
+            repeated_prefill_tokens_ += part.tokens;
+        insert(part);
     }
-    drop_oldest();
+    evict_least_recent();
     return std::min(cached, request.prompt_tokens);
 }
 
-void engine_model::keep(const sycamorelock::core::direct::prompt_part& part)
+void engine_model::insert(const sycamorelock::core::direct::prompt_part& part)
 {
-    order_.push_front(part);
-    index_[part.key] = order_.begin();
-    kept_ += part.tokens;
-    ever_read_[part.key] = true;
+    lru_.push_front(part);
+    index_[part.key] = lru_.begin();
+    cached_tokens_ += part.tokens;
+    ever_cached_[part.key] = true;
 }
 
-void engine_model::drop_oldest()
+void engine_model::evict_least_recent()
 {
-    while (kept_ > figures_.memory_tokens && !order_.empty())
+    while (cached_tokens_ > parameters_.memory_tokens && !lru_.empty())
     {
-        kept_ -= order_.back().tokens;
-        index_.erase(order_.back().key);
-        order_.pop_back();
+        cached_tokens_ -= lru_.back().tokens;
+        index_.erase(lru_.back().key);
+        lru_.pop_back();
     }
 }
 
-double engine_model::kept(
+double engine_model::cached_prefix_tokens(
     const std::vector<sycamorelock::core::direct::prompt_part>& parts) const
 {
     double tokens = 0;
@@ -80,7 +81,7 @@
     return tokens;
 }
 
-void engine_model::receive(
+void engine_model::add_fetched_prefix(
     const std::vector<sycamorelock::core::direct::prompt_part>& parts,
     double tokens)
 {
@@ -91,41 +92,43 @@
             break;
         if (index_.contains(part.key))
             continue;
-        keep(part);
+        insert(part);
     }
-    drop_oldest();
+    evict_least_recent();
 }
 
 void engine_model::admit()
 {
-    while (!waiting_.empty() && batch_.size() < figures_.slots)
+    while (!waiting_.empty() && batch_.size() < parameters_.slots)
     {
-        running next;
+        running_request next;
         next.request = waiting_.front();
         waiting_.pop_front();
-        next.cached = use_cache(next.request);
-        next.unread = std::max(1.0, next.request.prompt_tokens - next.cached);
-        tokens_read_ += next.unread;
+        next.cached_tokens = look_up_and_insert(next.request);
+        next.prefill_left =
+            std::max(1.0, next.request.prompt_tokens - next.cached_tokens);
+        prefilled_tokens_ += next.prefill_left;
         batch_.push_back(std::move(next));
     }
 }
 
-double engine_model::read_chunk()
+double engine_model::prefill_chunk()
 {
-    double budget = figures_.chunk_tokens;
+    double budget = parameters_.chunk_tokens;
     double ms = 0;
-    for (running& each : batch_)
+    for (running_request& each : batch_)
     {
-        if (each.unread <= 0 || budget <= 0)
+        if (each.prefill_left <= 0 || budget <= 0)
             continue;
-        const double part = std::min(budget, each.unread);
-        const double before = each.request.prompt_tokens - each.unread;
+        const double chunk = std::min(budget, each.prefill_left);
+        const double preceding_tokens =
+            each.request.prompt_tokens - each.prefill_left;
         static constexpr double million = 1e6;
-        ms += part / figures_.tokens_per_ms + part * (before + part / 2) /
-                                                  million *
-                                                  figures_.ms_per_million_pairs;
-        each.unread -= part;
-        budget -= part;
+        ms += chunk / parameters_.tokens_per_ms +
+              chunk * (preceding_tokens + chunk / 2) / million *
+                  parameters_.ms_per_million_pairs;
+        each.prefill_left -= chunk;
+        budget -= chunk;
     }
     return ms;
 }
@@ -134,26 +137,26 @@
 {
     admit();
     const double running_ms =
-        figures_.step_ms_per_running * static_cast<double>(batch_.size());
-    now_ms_ +=
-        (figures_.step_ms + running_ms + read_chunk()) * figures_.slowness;
+        parameters_.step_ms_per_running * static_cast<double>(batch_.size());
+    now_ms_ += (parameters_.step_ms + running_ms + prefill_chunk()) *
+               parameters_.slowness;
     for (auto it = batch_.begin(); it != batch_.end();)
     {
-        if (it->unread > 0)
+        if (it->prefill_left > 0)
         {
             ++it;
             continue;
         }
         const std::uint64_t id = it->request.id;
-        it->made += 1;
-        const bool first = !it->begun;
-        it->begun = true;
-        const bool ended = it->made >= it->request.output_tokens;
+        it->generated_tokens += 1;
+        const bool first = !it->first_token_sent;
+        it->first_token_sent = true;
+        const bool ended = it->generated_tokens >= it->request.output_tokens;
         it = ended ? batch_.erase(it) : std::next(it);
         if (first)
-            on_first_(id, now_ms_);
+            on_first_token_(id, now_ms_);
         if (ended)
-            on_end_(id, now_ms_);
+            on_completed_(id, now_ms_);
     }
 }
 
