--- a/packages/core/include/sycamorelock/core/control_state.hpp
+++ b/packages/core/include/sycamorelock/core/control_state.hpp
@@ -1,5 +1,6 @@
-// State and message dispatch of one instance in its three roles: entry,
-// scheduler of the shards placed on it, and owner of idempotency keys.
+// State and message dispatch of one instance in its three roles: entry for
+// requests of callers, scheduler of the shards placed on it, and owner of
+// idempotency keys.
 #pragma once
 
 #include "sycamorelock/core/entry.hpp"
@@ -10,17 +11,19 @@
 namespace sycamorelock::core
 {
 
-/// The two clocks of an input.
+/// Readings of the monotonic clock and the wall clock when an input occurs.
 struct moment
 {
     time_point now;
     wall_time wall{0};
 };
 
+/// Settings of one instance that do not change while it runs.
 struct node_options
 {
     instance_id self;
     domain_id domain;
+    /// Distinguishes successive processes of one instance.
     std::uint32_t incarnation = 1;
     std::uint64_t seed = 1;
     scheduling_mode mode = scheduling_mode::full;
@@ -29,11 +32,14 @@
     entry_options entry;
     key_owner_options keys;
     /// A longer gap between inputs means that the process was suspended.
-    duration suspended_after = std::chrono::seconds(2);
-    /// Longest wait of a new instance for word from another one.
-    duration join_wait = std::chrono::seconds(3);
+    duration suspension_threshold = std::chrono::seconds(2);
+    /// Longest time that a starting instance waits for gossip from another
+    /// instance before it accepts requests.
+    duration join_timeout = std::chrono::seconds(3);
 };
 
+/// The complete decision state of one instance. It does no I/O: calls put their
+/// results into the outbox. Not thread-safe.
 class control_state
 {
   public:
@@ -41,7 +47,8 @@
     control_state(const control_state&) = delete;
     control_state& operator=(const control_state&) = delete;
 
-    /// Called before each input; recognises a suspension.
+    /// Called before each input. Detects that the process was suspended from
+    /// the time since the previous input.
     void begin(moment now);
 
     /// Handles an authenticated message from another instance.
@@ -50,30 +57,38 @@
     /// Handles a message that this instance sent to itself.
     void receive_own(moment now, const peer_message& content);
 
-    /// Puts a checked configuration in force; returns false if it is not newer.
-    bool install_config(moment now, topology tree, std::string text);
+    /// Puts a checked configuration in force, and keeps its text to send to
+    /// other instances. Returns false if its version is not newer.
+    bool install_config(moment now, topology updated, std::string text);
+    /// The same for a member list.
     bool install_membership(moment now, membership list, std::string text);
 
-    void submit(moment now, const submission& wanted);
+    void submit(moment now, const submission& request);
+    /// Handles that the caller of a request has disconnected.
     void caller_left(moment now, const request_id& id);
+    /// Handles the end of an attempt.
     void finish(moment now, const attempt_result& result);
+    /// Records the cost so far of a running attempt.
     void progress(const request_id& id, std::uint32_t attempt, cost so_far);
+    /// Handles a load report of an endpoint.
     void on_load(moment now, service_id service, endpoint_id endpoint,
                  const load_report& report);
-    /// Tells which connections to other instances are broken at the moment.
+    /// Replaces the set of instances whose connections are currently broken.
     void connections_lost(moment now, const std::set<instance_id>& lost)
     {
         placement_.connections_lost(now.now, lost);
     }
     void tick(moment now);
-    /// Starts a graceful shutdown: no new requests, shards go elsewhere.
+    /// Starts a graceful shutdown: no new requests are taken, the instance is
+    /// announced as leaving, and its shards move to other instances.
     void leave(moment now);
-    /// Refuses requests from now on.
+    /// Refuses all requests that are submitted from now on.
     void stop_accepting() { entry_.stop_accepting(); }
 
     [[nodiscard]] outbox& out() { return out_; }
     [[nodiscard]] instance_id self() const { return options_.self; }
-    [[nodiscard]] const topology* tree() const { return tree_.get(); }
+    /// The configuration in force, or null before the first one.
+    [[nodiscard]] const topology* tree() const { return topology_.get(); }
     [[nodiscard]] const placement& where() const { return placement_; }
     [[nodiscard]] const entry& requests() const { return entry_; }
     [[nodiscard]] const shard_directory& directory() const
@@ -86,12 +101,14 @@
         return out_.retries();
     }
     [[nodiscard]] std::vector<const shard_scheduler*> schedulers() const;
+    /// Number of idempotency keys claimed at this instance as their owner.
     [[nodiscard]] std::size_t claims() const { return keys_.size(); }
     [[nodiscard]] bool leaving() const { return leaving_; }
-    /// Whether requests may come: the newest configuration that could be
-    /// reached is in force.
+    /// Whether the instance may accept requests: it has a configuration and a
+    /// member list, no newer configuration is known to it, and it has received
+    /// gossip, has waited for `join_timeout`, or is the only member.
     [[nodiscard]] bool ready(time_point now) const;
-    /// Nothing that this instance accepted or scheduled is still open.
+    /// Whether no request that this instance accepted is still open.
     [[nodiscard]] bool idle() const;
 
   private:
@@ -113,12 +130,13 @@
     shard_scheduler* scheduler(const shard_id& shard);
     void place_shards(moment now);
     void configure_scheduler(shard_scheduler& target, const shard_spec& shard);
-    void connect_peers(moment now);
-    /// Owners of the shards of a service that have one.
+    void set_scheduler_peers(moment now);
+    /// Owners of the shards of a service; shards without an owner are left out.
     [[nodiscard]] std::map<shard_id, instance_id> owners_of(service_id service);
-    /// Sends a request that a scheduler moved to a shard to the owner of that.
-    void pass_on(const enqueue& message);
-    void tell_versions(instance_id to);
+    /// Forwards a request that a scheduler moved to a shard to the owner of
+    /// that shard.
+    void forward_enqueue(const enqueue& message);
+    void send_versions(instance_id to);
     [[nodiscard]] config_version version() const;
 
     node_options options_;
@@ -127,15 +145,15 @@
     shard_directory directory_;
     entry entry_;
     key_owner keys_;
-    std::unique_ptr<topology> tree_;
+    std::unique_ptr<topology> topology_;
     std::string config_text_;
     std::string membership_text_;
     std::map<shard_id, std::unique_ptr<shard_scheduler>> schedulers_;
-    std::uint64_t placed_generation_ = 0;
-    config_version highest_seen_;
+    std::uint64_t last_placed_generation_ = 0;
+    config_version newest_known_config_;
     time_point started_;
     time_point last_input_;
-    bool heard_peer_ = false;
+    bool received_gossip_ = false;
     bool leaving_ = false;
     bool placement_stale_ = true;
 };
--- a/packages/core/include/sycamorelock/core/placement.hpp
+++ b/packages/core/include/sycamorelock/core/placement.hpp
@@ -1,5 +1,6 @@
-// Who is alive and who owns what: the platform's list, corrected by gossip of
-// heartbeat counters between the instances themselves.
+// Placement of shards and idempotency keys on instances. The platform's member
+// list gives the candidates; gossip of heartbeat counters between the instances
+// detects which of them are unreachable.
 #pragma once
 
 #include "sycamorelock/core/outbox.hpp"
@@ -14,49 +15,63 @@
 
 struct placement_options
 {
-    /// Period of a small fleet; a large one gossips half as often.
+    /// Gossip period of a small fleet; a large fleet uses twice this period.
     duration gossip_period = std::chrono::milliseconds(500);
-    std::size_t small_fleet = 16;
-    /// Silence after which an instance is suspected, in periods: a constant
-    /// part, and one for each doubling of the instances that the word of it
-    /// passes through. Other failure domains are heard of less often.
-    double patience = 3;
-    double patience_per_doubling = 2;
-    /// The same for a large fleet, where word passes through third instances.
-    double patience_of_large_fleet = 8;
-    double patience_per_doubling_of_large_fleet = 3.3;
-    double remote_factor = 2;
-    /// Silence after which an instance is suspected whose connection is lost:
-    /// its process has ended, or it would have been connected again.
-    duration patience_without_connection = std::chrono::seconds(1);
-    /// Time in which messages of its own may still be on their way.
-    duration transit = std::chrono::milliseconds(500);
-    /// Most heartbeats carried by one gossip message.
+    /// Largest number of members that counts as a small fleet.
+    std::size_t max_small_fleet_size = 16;
+    /// Time without a sign of life after which an instance of the own failure
+    /// domain is suspected, in gossip periods: a constant part, and a part for
+    /// each doubling of the number of instances in the domain, because a
+    /// heartbeat reaches all of them in logarithmic time.
+    double suspicion_periods = 3;
+    double suspicion_periods_per_doubling = 2;
+    /// The same for a large fleet, where most heartbeats are relayed by third
+    /// instances.
+    double large_fleet_suspicion_periods = 8;
+    double large_fleet_suspicion_periods_per_doubling = 3.3;
+    /// Factor on that time for instances of other failure domains, whose
+    /// heartbeats arrive less often.
+    double remote_timeout_factor = 2;
+    /// Time after which an instance with a lost connection is suspected. A
+    /// running process would have been connected again within this time.
+    duration disconnected_suspicion_timeout = std::chrono::seconds(1);
+    /// Time after the loss of a connection in which messages that the instance
+    /// sent before the loss may still arrive.
+    duration max_message_transit_time = std::chrono::milliseconds(500);
+    /// Largest number of heartbeats in one gossip message.
     std::size_t max_heartbeats = 48;
-    /// Of these, how many are kept for other failure domains.
-    std::size_t remote_heartbeats = 16;
-    /// Every so many periods another failure domain is told, too.
-    std::size_t remote_every = 2;
+    /// How many of these are reserved for failure domains other than the
+    /// receiver's.
+    std::size_t reserved_remote_heartbeats = 16;
+    /// Number of gossip periods after which one instance of another failure
+    /// domain is sent a message too.
+    std::size_t periods_per_remote_gossip = 2;
 };
 
+/// Detects unreachable instances and computes the owners of shards and
+/// idempotency keys.
 class placement
 {
   public:
     placement(instance_id self, domain_id domain, std::uint32_t incarnation,
               placement_options options, std::uint64_t seed, outbox& out);
 
-    /// Installs a list unless it is older than the one in force.
+    /// Installs a member list. Returns false and ignores the list if its
+    /// version is not newer than that of the list in force.
     bool install(time_point now, wall_time wall, membership list);
 
     void on_gossip(time_point now, const gossip& message);
-    /// Any authenticated message proves that its sender is alive.
-    void heard_from(time_point now, instance_id sender,
-                    std::uint32_t incarnation);
-    /// Tells which connections are broken at the moment.
+    /// Records an authenticated message of any type, which proves that its
+    /// sender is alive.
+    void record_message_from(time_point now, instance_id sender,
+                             std::uint32_t incarnation);
+    /// Replaces the set of instances whose connections are currently broken.
     void connections_lost(time_point now, const std::set<instance_id>& lost);
     void tick(time_point now, const config_version& config);
-    /// After a suspension nobody can be blamed for silence.
-    void forgive_all(time_point now);
+    /// Restarts the timeout of every instance. Called after this process was
+    /// suspended, when missing heartbeats do not show that their senders
+    /// failed.
+    void reset_suspicion_timers(time_point now);
     void set_leaving() { leaving_ = true; }
 
     [[nodiscard]] bool alive(instance_id id) const;
@@ -65,24 +80,30 @@
     [[nodiscard]] std::vector<instance_id> live() const;
     [[nodiscard]] std::optional<instance_id>
     owner_of(const shard_id& shard) const;
-    /// Key owners follow the platform's list alone: suspicion may differ on the
-    /// two sides of a partition, and two owners would let a key run twice.
+    /// Owner of an idempotency key. It depends on the platform's list alone:
+    /// suspicion may differ on the two sides of a partition, and two owners
+    /// would allow a request to run twice under one key.
     [[nodiscard]] std::optional<instance_id>
     key_owner(const idempotency_key& key) const;
-    /// Since when this instance has owned a key without a gap, as far as the
-    /// remembered lists tell; nothing if it does not own it now.
+    /// Start of the unbroken period in which this instance has owned a key, as
+    /// far back as the remembered lists go; nullopt if it does not own it now.
     [[nodiscard]] std::optional<wall_time>
     key_owned_since(const idempotency_key& key) const;
-    [[nodiscard]] bool hears_majority() const;
-    /// Gossip at the next tick, because there is news.
-    void hurry() { next_gossip_ = time_point{}; }
+    /// Whether more than half of the listed instances, this one included, are
+    /// not suspected.
+    [[nodiscard]] bool reaches_majority() const;
+    /// Sends gossip at the next tick instead of at the end of the period, so
+    /// that a change spreads sooner.
+    void gossip_at_next_tick() { next_gossip_ = time_point{}; }
+    /// Whether this instance is one of the two of its failure domain that read
+    /// the configuration from the platform.
     [[nodiscard]] bool is_config_reader() const;
 
     [[nodiscard]] const membership& list() const { return list_; }
     [[nodiscard]] instance_id self() const { return self_; }
     [[nodiscard]] domain_id domain() const { return domain_; }
     [[nodiscard]] std::uint32_t incarnation_of(instance_id id) const;
-    /// Rises whenever an owner may have changed.
+    /// Increases whenever an owner may have changed.
     [[nodiscard]] std::uint64_t generation() const { return generation_; }
 
   private:
@@ -90,36 +111,39 @@
     {
         std::uint32_t incarnation = 0;
         std::uint32_t counter = 0;
-        time_point last_heard;
-        /// Since when the connection to it is broken.
-        std::optional<time_point> lost_since;
-        /// It gave signs of life after the connection broke.
-        bool loss_refuted = false;
+        time_point last_alive_at;
+        /// When the connection to the instance broke, unless it is connected.
+        std::optional<time_point> disconnected_since;
+        /// Whether the instance was shown to be alive after the connection
+        /// broke.
+        bool alive_since_disconnect = false;
         bool leaving = false;
         bool suspected = false;
     };
 
-    struct past_list
+    /// Members of a list that is or was in force.
+    struct past_membership
     {
         wall_time installed;
         std::vector<instance_id> members;
     };
 
-    [[nodiscard]] bool is_small() const;
-    [[nodiscard]] bool is_near(instance_id id) const;
-    /// Silence after which an instance of this failure domain, or of another
-    /// one, is suspected.
-    [[nodiscard]] duration silence_limit(bool near) const;
-    [[nodiscard]] bool is_silent(time_point now, const peer& state,
-                                 duration limit) const;
-    void note_alive(time_point now, instance_id id, peer& state);
-    void accept_heartbeat(time_point now, const heartbeat& beat);
-    void suspect_silent(time_point now);
+    [[nodiscard]] bool is_small_fleet() const;
+    [[nodiscard]] bool is_in_own_domain(instance_id id) const;
+    /// Time without a sign of life after which an instance is suspected.
+    /// `local` selects instances of this failure domain, otherwise those of
+    /// others.
+    [[nodiscard]] duration suspicion_timeout(bool local) const;
+    [[nodiscard]] bool has_timed_out(time_point now, const peer& state,
+                                     duration timeout) const;
+    void mark_alive(time_point now, instance_id id, peer& state);
+    void accept_heartbeat(time_point now, const heartbeat& received);
+    void suspect_timed_out_peers(time_point now);
     [[nodiscard]] duration period() const;
-    [[nodiscard]] std::size_t near_count() const;
+    [[nodiscard]] std::size_t own_domain_size() const;
     void send_gossip(time_point now, const config_version& config);
-    [[nodiscard]] gossip compose(domain_id towards,
-                                 const config_version& config);
+    [[nodiscard]] gossip compose_gossip(domain_id receiver_domain,
+                                        const config_version& config);
     [[nodiscard]] instance_id next_target(const std::vector<instance_id>& from,
                                           std::size_t& cursor) const;
 
@@ -130,15 +154,15 @@
     boost::random::mt19937 random_;
     outbox& out_;
     membership list_;
-    /// Newest last. Bounded; see `max_past_lists`.
-    std::vector<past_list> past_lists_;
+    /// Oldest first, at most `max_past_memberships`.
+    std::vector<past_membership> past_memberships_;
     std::map<instance_id, peer> peers_;
     std::uint32_t own_counter_ = 0;
     bool leaving_ = false;
     time_point next_gossip_;
-    std::uint64_t rounds_ = 0;
-    std::size_t near_cursor_ = 0;
-    std::size_t far_cursor_ = 0;
+    std::uint64_t gossip_rounds_ = 0;
+    std::size_t own_domain_cursor_ = 0;
+    std::size_t remote_cursor_ = 0;
     std::uint64_t generation_ = 1;
 };
 
--- a/packages/core/lib/control_state.cpp
+++ b/packages/core/lib/control_state.cpp
@@ -1,4 +1,4 @@
-// Inputs of one instance and the placement of its shards.
+// Handling of the inputs of one instance, and placement of its schedulers.
 #include "sycamorelock/core/control_state.hpp"
 
 #include <cassert>
@@ -10,7 +10,8 @@
 namespace
 {
 
-scheduler_options for_mode(scheduler_options options, scheduling_mode mode)
+scheduler_options options_for_mode(scheduler_options options,
+                                   scheduling_mode mode)
 {
     if (mode == scheduling_mode::fcfs)
         options.queue.order = queue_order::arrival;
@@ -30,23 +31,25 @@
       keys_(options.keys, started.wall), started_(started.now),
       last_input_(started.now)
 {
-    options_.scheduler = for_mode(options.scheduler, options.mode);
+    options_.scheduler = options_for_mode(options.scheduler, options.mode);
 }
 
 void control_state::begin(moment now)
 {
     const duration gap = now.now - last_input_;
     last_input_ = now.now;
-    if (gap < options_.suspended_after)
+    if (gap < options_.suspension_threshold)
         return;
-    // Others have acted without us: silence was ours, waiting requests have
-    // been queued elsewhere, and our memory of keys has a hole.
+    // Other instances went on while this process was suspended. Heartbeats are
+    // missing because none were received here, requests that waited at the
+    // schedulers here have been queued elsewhere, and claims of keys made in
+    // the meantime are not recorded.
     out_.note(event_number::suspended_and_resumed,
               std::to_string(
                   std::chrono::duration_cast<std::chrono::milliseconds>(gap)
                       .count()) +
                   "ms");
-    placement_.forgive_all(now.now);
+    placement_.reset_suspicion_timers(now.now);
     keys_.restart(now.wall);
     out_.note(event_number::key_owner_reset);
     for (auto& [id, scheduler] : schedulers_)
@@ -55,23 +58,24 @@
 
 config_version control_state::version() const
 {
-    return tree_ ? tree_->version : config_version{};
+    return topology_ ? topology_->version : config_version{};
 }
 
-bool control_state::install_config(moment now, topology tree, std::string text)
+bool control_state::install_config(moment now, topology updated,
+                                   std::string text)
 {
-    if (tree_ && tree.version <= tree_->version)
+    if (topology_ && updated.version <= topology_->version)
         return false;
     const config_version before = version();
-    tree_ = std::make_unique<topology>(std::move(tree));
-    if (tree_->version < before)
+    topology_ = std::make_unique<topology>(std::move(updated));
+    if (topology_->version < before)
         out_.note(event_number::invariant_version_down);
     config_text_ = std::move(text);
-    directory_.configure(*tree_);
-    entry_.configure(*tree_);
+    directory_.configure(*topology_);
+    entry_.configure(*topology_);
     placement_stale_ = true;
     place_shards(now);
-    placement_.hurry();
+    placement_.gossip_at_next_tick();
     return true;
 }
 
@@ -83,13 +87,13 @@
     membership_text_ = std::move(text);
     placement_stale_ = true;
     place_shards(now);
-    placement_.hurry();
+    placement_.gossip_at_next_tick();
     return true;
 }
 
-void control_state::submit(moment now, const submission& wanted)
+void control_state::submit(moment now, const submission& request)
 {
-    entry_.submit(now.now, wanted);
+    entry_.submit(now.now, request);
 }
 
 void control_state::caller_left(moment now, const request_id& id)
@@ -135,17 +139,17 @@
     placement_.set_leaving();
     placement_stale_ = true;
     place_shards(now);
-    placement_.hurry();
+    placement_.gossip_at_next_tick();
 }
 
 bool control_state::ready(time_point now) const
 {
-    if (!tree_ || placement_.list().members.empty())
+    if (!topology_ || placement_.list().members.empty())
         return false;
-    if (version() < highest_seen_)
+    if (version() < newest_known_config_)
         return false;
     const bool alone = placement_.list().members.size() <= 1;
-    return alone || heard_peer_ || now - started_ >= options_.join_wait;
+    return alone || received_gossip_ || now - started_ >= options_.join_timeout;
 }
 
 bool control_state::idle() const
@@ -170,25 +174,26 @@
 void control_state::configure_scheduler(shard_scheduler& target,
                                         const shard_spec& shard)
 {
-    std::uint32_t divide = 1;
+    std::uint32_t slot_divisor = 1;
     if (options_.mode == scheduling_mode::alone)
     {
         const std::size_t members = placement_.list().members.size();
-        divide = static_cast<std::uint32_t>(std::max<std::size_t>(1, members));
+        slot_divisor =
+            static_cast<std::uint32_t>(std::max<std::size_t>(1, members));
     }
-    target.configure(tree_->services.at(shard.id.service), shard,
-                     tree_->accounts, placement_.list().leaving_endpoints,
-                     divide);
+    target.configure(topology_->services.at(shard.id.service), shard,
+                     topology_->accounts, placement_.list().leaving_endpoints,
+                     slot_divisor);
 }
 
 void control_state::place_shards(moment now)
 {
     const bool unchanged =
-        !placement_stale_ && placed_generation_ == placement_.generation();
-    if (unchanged || !tree_)
+        !placement_stale_ && last_placed_generation_ == placement_.generation();
+    if (unchanged || !topology_)
         return;
     placement_stale_ = false;
-    placed_generation_ = placement_.generation();
+    last_placed_generation_ = placement_.generation();
     std::map<shard_id, std::unique_ptr<shard_scheduler>> before;
     before.swap(schedulers_);
     for (const auto& [service, shards] : directory_.all())
@@ -197,31 +202,34 @@
         {
             if (directory_.owner(shard.id) != options_.self)
                 continue;
-            auto& mine = schedulers_[shard.id];
-            const auto kept = before.find(shard.id);
-            if (kept != before.end())
-                mine = std::move(kept->second);
-            if (!mine)
+            auto& own = schedulers_[shard.id];
+            const auto previous = before.find(shard.id);
+            if (previous != before.end())
+                own = std::move(previous->second);
+            if (!own)
             {
+                // Linear congruential step: each scheduler gets a seed of its
+                // own.
                 options_.seed = options_.seed * 6364136223846793005ULL + 1;
-                mine = std::make_unique<shard_scheduler>(
+                own = std::make_unique<shard_scheduler>(
                     shard.id, options_.scheduler,
                     options_.seed ^ options_.incarnation, now.now, out_);
                 out_.note(event_number::shard_acquired,
                           rendezvous_subject(shard.id));
             }
-            configure_scheduler(*mine, shard);
+            configure_scheduler(*own, shard);
         }
     }
-    for (const auto& [id, gone] : before)
+    for (const auto& [id, lost] : before)
     {
-        if (!gone)
+        if (!lost)
             continue;
-        // Entries queue anew at the next owner and report what runs.
-        gone->hand_over(now.now, owners_of(id.service));
+        // Entries enqueue their waiting requests again at the new owner and
+        // report the running ones to it.
+        lost->hand_over(now.now, owners_of(id.service));
         out_.note(event_number::shard_lost, rendezvous_subject(id));
     }
-    connect_peers(now);
+    set_scheduler_peers(now);
 }
 
 std::map<shard_id, instance_id> control_state::owners_of(service_id service)
@@ -239,7 +247,7 @@
     return owners;
 }
 
-void control_state::connect_peers(moment now)
+void control_state::set_scheduler_peers(moment now)
 {
     if (options_.mode == scheduling_mode::alone)
         return;
@@ -255,7 +263,7 @@
                             std::uint32_t incarnation,
                             const peer_message& content)
 {
-    placement_.heard_from(now.now, from, incarnation);
+    placement_.record_message_from(now.now, from, incarnation);
     dispatch_message(now, from, content);
 }
 
@@ -277,7 +285,8 @@
 }
 void control_state::on(moment now, instance_id from, const Message& message)
 {
-    // These name the sender's shard and concern every scheduler of the service.
+    // In these messages, `shard` is the shard of the sender. They are handled
+    // by all schedulers of the service.
     constexpr bool to_service = std::is_same_v<Message, advert> ||
                                 std::is_same_v<Message, service_report> ||
                                 std::is_same_v<Message, snapshot>;
@@ -292,28 +301,29 @@
     }
     else
     {
-        // Without the shard here the sender's view is old: it will learn the
-        // owner from gossip and send again.
+        // If the shard is not scheduled here, the sender's view of the
+        // placement is outdated. It will compute the current owner after the
+        // next gossip and send the message again.
         if (shard_scheduler* target = scheduler(message.shard))
             target->on_message(now.now, from, message);
         else if constexpr (std::is_same_v<Message, enqueue>)
-            pass_on(message);
+            forward_enqueue(message);
     }
 }
 
-void control_state::pass_on(const enqueue& message)
+void control_state::forward_enqueue(const enqueue& message)
 {
-    // No entry follows the owner of a shard to which a scheduler moved its
-    // request. Passed on once, as two instances may each hold the other one for
-    // the owner.
+    // An entry does not track the owner of a shard to which a scheduler moved
+    // its request, so the request is forwarded here. It is forwarded only once,
+    // because two instances may each consider the other one the owner.
     if (!message.moved || message.requeued)
         return;
     const auto owner = directory_.owner(message.shard);
     if (!owner || *owner == options_.self)
         return;
-    enqueue again = message;
-    again.requeued = true;
-    out_.send(*owner, again);
+    enqueue forwarded = message;
+    forwarded.requeued = true;
+    out_.send(*owner, forwarded);
 }
 
 void control_state::on(moment now, instance_id from, const grant& message)
@@ -335,8 +345,8 @@
 void control_state::on(moment now, instance_id from, const gossip& message)
 {
     placement_.on_gossip(now.now, message);
-    heard_peer_ = true;
-    highest_seen_ = std::max(highest_seen_, message.config);
+    received_gossip_ = true;
+    newest_known_config_ = std::max(newest_known_config_, message.config);
     const bool newer = message.config > version() ||
                        message.membership_version > placement_.list().version;
     if (newer)
@@ -344,10 +354,10 @@
     const bool older = message.config < version() ||
                        message.membership_version < placement_.list().version;
     if (older)
-        tell_versions(from);
+        send_versions(from);
 }
 
-void control_state::tell_versions(instance_id to)
+void control_state::send_versions(instance_id to)
 {
     gossip versions;
     versions.config = version();
@@ -359,8 +369,9 @@
 {
     if (message.membership_version < placement_.list().version)
         out_.send(from, membership_document{membership_text_});
-    if (tree_ && message.have < tree_->version)
-        out_.send(from, config_document{tree_->version.number, config_text_});
+    if (topology_ && message.have < topology_->version)
+        out_.send(from,
+                  config_document{topology_->version.number, config_text_});
 }
 
 void control_state::on(moment, instance_id, const config_document& message)
@@ -380,10 +391,11 @@
     claim_result answer;
     answer.request = message.request;
     const auto since = placement_.key_owned_since(message.key);
-    const bool agreed = message.membership_version == placement_.list().version;
-    if (!agreed || !since)
+    const bool same_membership =
+        message.membership_version == placement_.list().version;
+    if (!same_membership || !since)
         answer.verdict = claim_verdict::not_owner;
-    else if (!placement_.hears_majority())
+    else if (!placement_.reaches_majority())
         answer.verdict = claim_verdict::no_majority;
     else
         answer.verdict = keys_.claim_key(now.wall, *since, message);
--- a/packages/core/lib/placement.cpp
+++ b/packages/core/lib/placement.cpp
@@ -1,5 +1,5 @@
-// Gossip-style failure detection: counters spread through a few messages a
-// period, so the cost of an instance does not grow with the size of the fleet.
+// Gossip-style failure detection: each instance sends a few messages with
+// heartbeat counters per period, so its cost does not grow with the fleet.
 #include "sycamorelock/core/placement.hpp"
 
 #include <boost/random/uniform_int_distribution.hpp>
@@ -13,8 +13,9 @@
 namespace
 {
 
-/// Member lists remembered to tell how long a key has been owned.
-constexpr std::size_t max_past_lists = 16;
+/// Number of member lists remembered to determine how long a key has been
+/// owned.
+constexpr std::size_t max_past_memberships = 16;
 
 std::string key_subject(const idempotency_key& key)
 {
@@ -31,10 +32,10 @@
     : self_(self), domain_(domain), incarnation_(incarnation),
       options_(options), random_(static_cast<std::uint32_t>(seed)), out_(out)
 {
-    // All instances start at different places of the list, or each period all
-    // of them would tell the same one.
-    near_cursor_ = random_();
-    far_cursor_ = random_();
+    // Instances start at different positions of the list. Otherwise all of them
+    // would send their gossip to the same instance in each period.
+    own_domain_cursor_ = random_();
+    remote_cursor_ = random_();
 }
 
 bool placement::install(time_point now, wall_time wall, membership list)
@@ -42,20 +43,21 @@
     if (list.version <= list_.version)
         return false;
     list_ = std::move(list);
-    past_list past{wall, {}};
+    past_membership past{wall, {}};
     for (const auto& [id, info] : list_.members)
         past.members.push_back(id);
-    if (past_lists_.empty() || past_lists_.back().members != past.members)
-        past_lists_.push_back(std::move(past));
-    if (past_lists_.size() > max_past_lists)
-        past_lists_.erase(past_lists_.begin());
+    if (past_memberships_.empty() ||
+        past_memberships_.back().members != past.members)
+        past_memberships_.push_back(std::move(past));
+    if (past_memberships_.size() > max_past_memberships)
+        past_memberships_.erase(past_memberships_.begin());
     std::erase_if(peers_, [this](const auto& entry)
                   { return !list_.members.contains(entry.first); });
     for (const auto& [id, info] : list_.members)
     {
         if (id == self_ || peers_.contains(id))
             continue;
-        peers_[id].last_heard = now;
+        peers_[id].last_alive_at = now;
     }
     ++generation_;
     out_.note(event_number::membership_installed,
@@ -63,9 +65,9 @@
     return true;
 }
 
-void placement::note_alive(time_point now, instance_id id, peer& state)
+void placement::mark_alive(time_point now, instance_id id, peer& state)
 {
-    state.last_heard = now;
+    state.last_alive_at = now;
     if (!state.suspected)
         return;
     state.suspected = false;
@@ -73,8 +75,8 @@
     out_.note(event_number::instance_returned, list_.members.at(id).name);
 }
 
-void placement::heard_from(time_point now, instance_id sender,
-                           std::uint32_t incarnation)
+void placement::record_message_from(time_point now, instance_id sender,
+                                    std::uint32_t incarnation)
 {
     const auto found = peers_.find(sender);
     if (found == peers_.end())
@@ -87,9 +89,10 @@
         state.leaving = false;
         ++generation_;
     }
-    if (state.lost_since && now - *state.lost_since > options_.transit)
-        state.loss_refuted = true;
-    note_alive(now, sender, state);
+    if (state.disconnected_since &&
+        now - *state.disconnected_since > options_.max_message_transit_time)
+        state.alive_since_disconnect = true;
+    mark_alive(now, sender, state);
 }
 
 void placement::connections_lost(time_point now,
@@ -99,79 +102,82 @@
     {
         if (!lost.contains(id))
         {
-            state.lost_since.reset();
-            state.loss_refuted = false;
+            state.disconnected_since.reset();
+            state.alive_since_disconnect = false;
             continue;
         }
-        if (state.lost_since)
+        if (state.disconnected_since)
             continue;
-        state.lost_since = now;
+        state.disconnected_since = now;
     }
 }
 
-bool placement::is_silent(time_point now, const peer& state,
-                          duration limit) const
+bool placement::has_timed_out(time_point now, const peer& state,
+                              duration timeout) const
 {
-    if (now - state.last_heard > limit)
+    if (now - state.last_alive_at > timeout)
         return true;
-    const duration patience = options_.patience_without_connection;
-    return state.lost_since && !state.loss_refuted &&
-           now - *state.lost_since > patience;
+    const duration disconnected_timeout =
+        options_.disconnected_suspicion_timeout;
+    return state.disconnected_since && !state.alive_since_disconnect &&
+           now - *state.disconnected_since > disconnected_timeout;
 }
 
-void placement::accept_heartbeat(time_point now, const heartbeat& beat)
+void placement::accept_heartbeat(time_point now, const heartbeat& received)
 {
-    const auto found = peers_.find(beat.instance);
+    const auto found = peers_.find(received.instance);
     if (found == peers_.end())
         return;
     peer& state = found->second;
     if (state.incarnation == 0)
-        state.incarnation = beat.incarnation;
+        state.incarnation = received.incarnation;
     // Which of two incarnations is newer is known only from the instance
     // itself, so a relayed heartbeat of another incarnation is ignored.
-    if (state.incarnation != beat.incarnation)
+    if (state.incarnation != received.incarnation)
         return;
-    if (beat.counter <= state.counter)
+    if (received.counter <= state.counter)
         return;
-    state.counter = beat.counter;
-    if (state.leaving != beat.leaving)
+    state.counter = received.counter;
+    if (state.leaving != received.leaving)
     {
-        state.leaving = beat.leaving;
+        state.leaving = received.leaving;
         ++generation_;
     }
-    // Relayed word may have been on its way when the connection broke, for as
-    // long as silence is usually allowed.
-    const bool on_its_way =
-        state.lost_since && !state.loss_refuted &&
-        now - *state.lost_since <= silence_limit(is_near(beat.instance));
-    if (on_its_way)
+    // A relayed heartbeat may have been sent before the connection broke and
+    // still be spreading, for as long as the usual suspicion timeout.
+    const bool may_predate_disconnect =
+        state.disconnected_since && !state.alive_since_disconnect &&
+        now - *state.disconnected_since <=
+            suspicion_timeout(is_in_own_domain(received.instance));
+    if (may_predate_disconnect)
         return;
-    state.loss_refuted = state.lost_since.has_value();
-    note_alive(now, beat.instance, state);
+    state.alive_since_disconnect = state.disconnected_since.has_value();
+    mark_alive(now, received.instance, state);
 }
 
 void placement::on_gossip(time_point now, const gossip& message)
 {
-    for (const heartbeat& beat : message.heartbeats)
-        accept_heartbeat(now, beat);
+    for (const heartbeat& received : message.heartbeats)
+        accept_heartbeat(now, received);
 }
 
-bool placement::is_small() const
+bool placement::is_small_fleet() const
 {
-    return list_.members.size() <= options_.small_fleet;
+    return list_.members.size() <= options_.max_small_fleet_size;
 }
 
-bool placement::is_near(instance_id id) const
+bool placement::is_in_own_domain(instance_id id) const
 {
     return list_.members.at(id).domain == domain_;
 }
 
 duration placement::period() const
 {
-    return is_small() ? options_.gossip_period : options_.gossip_period * 2;
+    return is_small_fleet() ? options_.gossip_period
+                            : options_.gossip_period * 2;
 }
 
-std::size_t placement::near_count() const
+std::size_t placement::own_domain_size() const
 {
     std::size_t count = 0;
     for (const auto& [id, info] : list_.members)
@@ -179,37 +185,43 @@
     return count;
 }
 
-duration placement::silence_limit(bool near) const
+duration placement::suspicion_timeout(bool local) const
 {
-    // Word of an instance reaches n others in about 2 log2 n periods. Far word
-    // comes in samples of the other domains, so it takes as many times longer
-    // as there are samples.
-    const auto near_members = static_cast<double>(near_count());
-    const double constant =
-        is_small() ? options_.patience : options_.patience_of_large_fleet;
-    const double growth = is_small()
-                              ? options_.patience_per_doubling
-                              : options_.patience_per_doubling_of_large_fleet;
-    const double periods = constant + growth * std::log2(near_members + 1);
-    const auto unit = static_cast<double>(period().count());
-    if (near)
-        return duration(static_cast<duration::rep>(unit * periods));
-    const double far = static_cast<double>(list_.members.size()) - near_members;
-    const double samples =
-        std::max(1.0, far / static_cast<double>(options_.remote_heartbeats));
+    // A heartbeat reaches n instances in about 2 log2 n periods. Messages carry
+    // only a sample of the heartbeats of other domains, so those take longer by
+    // the number of samples that cover all of them.
+    const auto own_domain_members = static_cast<double>(own_domain_size());
+    const double constant = is_small_fleet()
+                                ? options_.suspicion_periods
+                                : options_.large_fleet_suspicion_periods;
+    const double periods_per_doubling =
+        is_small_fleet() ? options_.suspicion_periods_per_doubling
+                         : options_.large_fleet_suspicion_periods_per_doubling;
+    const double periods =
+        constant + periods_per_doubling * std::log2(own_domain_members + 1);
+    const auto period_ticks = static_cast<double>(period().count());
+    if (local)
+        return duration(static_cast<duration::rep>(period_ticks * periods));
+    const double remote_members =
+        static_cast<double>(list_.members.size()) - own_domain_members;
+    const double samples = std::max(
+        1.0, remote_members /
+                 static_cast<double>(options_.reserved_remote_heartbeats));
     return duration(static_cast<duration::rep>(
-        unit * periods * options_.remote_factor * samples));
+        period_ticks * periods * options_.remote_timeout_factor * samples));
 }
 
-void placement::suspect_silent(time_point now)
+void placement::suspect_timed_out_peers(time_point now)
 {
-    const duration near_limit = silence_limit(true);
-    const duration far_limit = silence_limit(false);
+    const duration own_domain_timeout = suspicion_timeout(true);
+    const duration remote_timeout = suspicion_timeout(false);
     for (auto& [id, state] : peers_)
     {
         if (state.suspected)
             continue;
-        if (!is_silent(now, state, is_near(id) ? near_limit : far_limit))
+        if (!has_timed_out(now, state,
+                           is_in_own_domain(id) ? own_domain_timeout
+                                                : remote_timeout))
             continue;
         state.suspected = true;
         ++generation_;
@@ -217,83 +229,89 @@
     }
 }
 
-void placement::forgive_all(time_point now)
+void placement::reset_suspicion_timers(time_point now)
 {
     for (auto& [id, state] : peers_)
-        state.last_heard = now;
+        state.last_alive_at = now;
 }
 
 instance_id placement::next_target(const std::vector<instance_id>& from,
                                    std::size_t& cursor) const
 {
-    // Taking turns bounds the time between two messages to one instance,
-    // which a random choice would not.
+    // Round-robin selection bounds the time between two messages to one
+    // instance; random selection would not.
     return from[cursor++ % from.size()];
 }
 
-gossip placement::compose(domain_id towards, const config_version& config)
+gossip placement::compose_gossip(domain_id receiver_domain,
+                                 const config_version& config)
 {
     gossip message;
     message.config = config;
     message.membership_version = list_.version;
     message.heartbeats.push_back({self_, incarnation_, own_counter_, leaving_});
-    std::vector<heartbeat> near;
-    std::vector<heartbeat> far;
+    std::vector<heartbeat> local;
+    std::vector<heartbeat> remote;
     for (const auto& [id, state] : peers_)
     {
         if (state.suspected || state.counter == 0)
             continue;
-        const bool same = list_.members.at(id).domain == towards;
-        auto& group = same ? near : far;
+        const bool same_domain = list_.members.at(id).domain == receiver_domain;
+        auto& group = same_domain ? local : remote;
         group.push_back({id, state.incarnation, state.counter, state.leaving});
     }
-    std::shuffle(near.begin(), near.end(), random_);
-    std::shuffle(far.begin(), far.end(), random_);
-    // The receiver's own failure domain matters most to it, but without a part
-    // kept for the others it would never hear of them in a large fleet.
-    const std::size_t room = options_.max_heartbeats;
-    const std::size_t kept = std::min(far.size(), options_.remote_heartbeats);
-    const std::size_t for_near = std::min(near.size(), room - 1 - kept);
-    message.heartbeats.insert(message.heartbeats.end(), near.begin(),
-                              near.begin() +
-                                  static_cast<std::ptrdiff_t>(for_near));
-    const std::size_t for_far =
-        std::min(far.size(), room - message.heartbeats.size());
-    message.heartbeats.insert(message.heartbeats.end(), far.begin(),
-                              far.begin() +
-                                  static_cast<std::ptrdiff_t>(for_far));
+    std::shuffle(local.begin(), local.end(), random_);
+    std::shuffle(remote.begin(), remote.end(), random_);
+    // Heartbeats of the receiver's own failure domain have priority. Without
+    // the reserved part, the receiver would get none of other domains in a
+    // large fleet.
+    const std::size_t max_count = options_.max_heartbeats;
+    const std::size_t reserved =
+        std::min(remote.size(), options_.reserved_remote_heartbeats);
+    const std::size_t local_count =
+        std::min(local.size(), max_count - 1 - reserved);
+    message.heartbeats.insert(message.heartbeats.end(), local.begin(),
+                              local.begin() +
+                                  static_cast<std::ptrdiff_t>(local_count));
+    const std::size_t remote_count =
+        std::min(remote.size(), max_count - message.heartbeats.size());
+    message.heartbeats.insert(message.heartbeats.end(), remote.begin(),
+                              remote.begin() +
+                                  static_cast<std::ptrdiff_t>(remote_count));
     return message;
 }
 
 void placement::send_gossip(time_point now, const config_version& config)
 {
-    std::vector<instance_id> near;
-    std::vector<instance_id> far;
+    std::vector<instance_id> local;
+    std::vector<instance_id> remote;
     for (const auto& [id, info] : list_.members)
     {
         if (id == self_)
             continue;
-        (info.domain == domain_ ? near : far).push_back(id);
+        (info.domain == domain_ ? local : remote).push_back(id);
     }
     next_gossip_ = now + period();
     ++own_counter_;
-    ++rounds_;
-    const auto tell =
+    ++gossip_rounds_;
+    const auto send_to_next =
         [&](const std::vector<instance_id>& group, std::size_t& cursor)
     {
         if (group.empty())
             return;
         const instance_id target = next_target(group, cursor);
-        out_.send(target, compose(list_.members.at(target).domain, config));
+        out_.send(target,
+                  compose_gossip(list_.members.at(target).domain, config));
     };
-    tell(near, near_cursor_);
-    if (rounds_ % options_.remote_every == 0 || near.empty())
-        tell(far, far_cursor_);
+    send_to_next(local, own_domain_cursor_);
+    if (gossip_rounds_ % options_.periods_per_remote_gossip == 0 ||
+        local.empty())
+        send_to_next(remote, remote_cursor_);
 }
 
 void placement::tick(time_point now, const config_version& config)
 {
-    suspect_silent(now);
+    suspect_timed_out_peers(now);
     if (now >= next_gossip_)
         send_gossip(now, config);
 }
@@ -339,18 +357,18 @@
 std::optional<instance_id> placement::owner_of(const shard_id& shard) const
 {
     const std::string subject = rendezvous_subject(shard);
-    const auto near = rendezvous(live_in(shard.domain), subject);
-    if (near)
-        return near;
+    const auto in_domain = rendezvous(live_in(shard.domain), subject);
+    if (in_domain)
+        return in_domain;
     return rendezvous(live(), subject);
 }
 
 std::optional<instance_id>
 placement::key_owner(const idempotency_key& key) const
 {
-    if (past_lists_.empty())
+    if (past_memberships_.empty())
         return std::nullopt;
-    return rendezvous(past_lists_.back().members, key_subject(key));
+    return rendezvous(past_memberships_.back().members, key_subject(key));
 }
 
 std::optional<wall_time>
@@ -358,7 +376,8 @@
 {
     const std::string subject = key_subject(key);
     std::optional<wall_time> since;
-    for (auto past = past_lists_.rbegin(); past != past_lists_.rend(); ++past)
+    for (auto past = past_memberships_.rbegin();
+         past != past_memberships_.rend(); ++past)
     {
         if (rendezvous(past->members, subject) != self_)
             break;
@@ -367,12 +386,12 @@
     return since;
 }
 
-bool placement::hears_majority() const
+bool placement::reaches_majority() const
 {
-    std::size_t heard = 0;
+    std::size_t reachable = 0;
     for (const auto& [id, info] : list_.members)
-        heard += alive(id) ? 1 : 0;
-    return heard * 2 > list_.members.size();
+        reachable += alive(id) ? 1 : 0;
+    return reachable * 2 > list_.members.size();
 }
 
 bool placement::is_config_reader() const
--- a/packages/core/lib/topology.cpp
+++ b/packages/core/lib/topology.cpp
@@ -1,4 +1,4 @@
-// Shards and rendezvous hashing.
+// Splitting of services into shards, and rendezvous hashing.
 #include "sycamorelock/core/topology.hpp"
 
 #include <openssl/sha.h>
--- a/packages/core/unittests/placement_test.cpp
+++ b/packages/core/unittests/placement_test.cpp
@@ -1,4 +1,5 @@
-// Failure detection at the size to design for, without a fleet around it.
+// Failure detection by gossip alone, with up to 370 instances (the design size)
+// and with the small fleet of 14, and stability of rendezvous hashing.
 #include "sycamorelock/core/placement.hpp"
 
 #include <criterion/criterion.h>
@@ -12,11 +13,12 @@
 
 constexpr std::size_t domains = 7;
 
-/// Placements that hand each other's gossip over at once.
-class gossiping
+/// Placements that deliver gossip to each other without delay, on a simulated
+/// clock.
+class gossip_fleet
 {
   public:
-    explicit gossiping(std::size_t count) : silent_(count, false)
+    explicit gossip_fleet(std::size_t count) : stopped_(count, false)
     {
         membership list;
         list.version = 1;
@@ -49,57 +51,61 @@
             now_ += std::chrono::milliseconds(100);
             for (std::size_t i = 0; i < placements_.size(); ++i)
             {
-                if (silent_[i])
+                if (stopped_[i])
                     continue;
-                placements_[i]->connections_lost(now_, lost_);
+                placements_[i]->connections_lost(now_, broken_connections_);
                 placements_[i]->tick(now_, {1, 1});
-                pass_on(i);
+                deliver_messages(i);
             }
         }
     }
 
-    void silence(std::size_t index) { silent_[index] = true; }
+    /// Stops an instance without breaking the connections to it: it neither
+    /// sends nor receives from now on.
+    void stop(std::size_t index) { stopped_[index] = true; }
 
-    /// The process ends, and the others' connections to it break.
+    /// Stops an instance and breaks the connections of the others to it.
     void end_process(std::size_t index)
     {
-        silence(index);
+        stop(index);
         break_connections(index);
     }
 
-    /// Breaks the connections to an instance that goes on running.
+    /// Marks the connections to an instance as broken at all others. Gossip is
+    /// still delivered.
     void break_connections(std::size_t index)
     {
-        lost_.insert(instance_id::of("i" + std::to_string(index)));
+        broken_connections_.insert(
+            instance_id::of("i" + std::to_string(index)));
     }
 
-    /// How many of those that run hold this one for dead.
-    [[nodiscard]] std::size_t suspecting(std::size_t index) const
+    /// Number of running instances that suspect this one.
+    [[nodiscard]] std::size_t count_suspecting(std::size_t index) const
     {
         const auto id = instance_id::of("i" + std::to_string(index));
         std::size_t count = 0;
         for (std::size_t i = 0; i < placements_.size(); ++i)
-            count += !silent_[i] && !placements_[i]->alive(id) ? 1 : 0;
+            count += !stopped_[i] && !placements_[i]->alive(id) ? 1 : 0;
         return count;
     }
 
-    [[nodiscard]] int false_suspicions() const { return suspicions_; }
+    [[nodiscard]] int false_suspicions() const { return suspicion_count_; }
 
   private:
-    void pass_on(std::size_t from)
+    void deliver_messages(std::size_t from)
     {
         const auto sender = instance_id::of("i" + std::to_string(from));
-        for (const event& happened : outs_[from]->take_events())
-            suspicions_ +=
-                happened.number == event_number::instance_suspected ? 1 : 0;
+        for (const event& noted : outs_[from]->take_events())
+            suspicion_count_ +=
+                noted.number == event_number::instance_suspected ? 1 : 0;
         for (const auto& [to, messages] : outs_[from]->take_messages())
         {
             const std::size_t target = index_.at(to);
-            if (silent_[target])
+            if (stopped_[target])
                 continue;
             for (const peer_message& content : messages)
             {
-                placements_[target]->heard_from(
+                placements_[target]->record_message_from(
                     now_, sender, static_cast<std::uint32_t>(from + 1));
                 placements_[target]->on_gossip(now_, std::get<gossip>(content));
             }
@@ -109,67 +115,73 @@
     time_point now_{std::chrono::seconds(100)};
     std::vector<std::unique_ptr<outbox>> outs_;
     std::vector<std::unique_ptr<placement>> placements_;
-    std::vector<bool> silent_;
-    std::set<instance_id> lost_;
+    std::vector<bool> stopped_;
+    std::set<instance_id> broken_connections_;
     std::map<instance_id, std::size_t> index_;
-    int suspicions_ = 0;
+    int suspicion_count_ = 0;
 };
 
 } // namespace
 
-Test(placement, nobody_is_suspected_while_all_run_at_the_design_size)
+Test(placement, no_instance_is_suspected_while_all_run_at_the_design_size)
 {
-    gossiping fleet(370);
+    gossip_fleet fleet(370);
     fleet.run(std::chrono::seconds(90));
     cr_assert_eq(fleet.false_suspicions(), 0, "%d", fleet.false_suspicions());
 }
 
-Test(placement, a_silent_instance_is_suspected_by_its_domain_within_seconds)
+Test(placement, a_stopped_instance_is_suspected_by_its_domain_within_45_seconds)
 {
-    gossiping fleet(370);
+    gossip_fleet fleet(370);
     fleet.run(std::chrono::seconds(30));
-    fleet.silence(0);
-    // Its own failure domain has 53 instances, 52 of which go on.
+    fleet.stop(0);
+    // Its failure domain has 53 instances, 52 of which keep running.
     fleet.run(std::chrono::seconds(45));
-    cr_assert(fleet.suspecting(0) >= 52, "%zu", fleet.suspecting(0));
+    cr_assert(fleet.count_suspecting(0) >= 52, "%zu",
+              fleet.count_suspecting(0));
 }
 
 Test(placement, an_ended_process_is_suspected_by_all_within_two_seconds)
 {
-    gossiping fleet(370);
+    gossip_fleet fleet(370);
     fleet.run(std::chrono::seconds(30));
     fleet.end_process(0);
     fleet.run(std::chrono::seconds(2));
-    cr_assert_eq(fleet.suspecting(0), 369U, "%zu", fleet.suspecting(0));
-    // Word of it that was on its way does not revive it.
+    cr_assert_eq(fleet.count_suspecting(0), 369U, "%zu",
+                 fleet.count_suspecting(0));
+    // Heartbeats of it that others still relay do not end the suspicion.
     for (int i = 0; i < 20; ++i)
     {
         fleet.run(std::chrono::seconds(1));
-        cr_assert_eq(fleet.suspecting(0), 369U, "%zu", fleet.suspecting(0));
+        cr_assert_eq(fleet.count_suspecting(0), 369U, "%zu",
+                     fleet.count_suspecting(0));
     }
 }
 
-Test(placement, a_broken_connection_alone_convicts_nobody_for_long)
+Test(placement,
+     a_running_instance_with_a_broken_connection_does_not_stay_suspected)
 {
-    gossiping fleet(14);
+    gossip_fleet fleet(14);
     fleet.run(std::chrono::seconds(20));
     fleet.break_connections(3);
     fleet.run(std::chrono::seconds(10));
-    // Its own messages and its moving counter speak for it.
-    cr_assert_eq(fleet.suspecting(3), 0U, "%zu", fleet.suspecting(3));
+    // Its own messages and its increasing heartbeat counter show that it runs.
+    cr_assert_eq(fleet.count_suspecting(3), 0U, "%zu",
+                 fleet.count_suspecting(3));
 }
 
-Test(placement, a_small_fleet_suspects_within_a_few_seconds)
+Test(placement, a_small_fleet_suspects_a_stopped_instance_within_12_seconds)
 {
-    gossiping fleet(14);
+    gossip_fleet fleet(14);
     fleet.run(std::chrono::seconds(20));
     cr_assert_eq(fleet.false_suspicions(), 0);
-    fleet.silence(3);
+    fleet.stop(3);
     fleet.run(std::chrono::seconds(12));
-    cr_assert_eq(fleet.suspecting(3), 13U, "%zu", fleet.suspecting(3));
+    cr_assert_eq(fleet.count_suspecting(3), 13U, "%zu",
+                 fleet.count_suspecting(3));
 }
 
-Test(placement, an_instance_that_leaves_moves_only_its_own_subjects)
+Test(placement, removal_of_an_instance_reassigns_only_its_own_subjects)
 {
     std::vector<instance_id> all;
     for (int i = 0; i < 50; ++i)
--- a/packages/core/unittests/random_test.cpp
+++ b/packages/core/unittests/random_test.cpp
@@ -1,6 +1,7 @@
-// Randomised runs: random work under drops, duplicates, delays, kills,
-// restarts, pauses, partitions and late member lists. rapidcheck shrinks a
-// failing script; its seed is printed and can be given again:
+// Property-based tests: random requests under dropped, duplicated and delayed
+// messages, kills, restarts, pauses, partitions and late member lists.
+// rapidcheck shrinks a failing script and prints its seed, which repeats the
+// run:
 //   RC_PARAMS="seed=N" random_test
 #include "fake_fleet.hpp"
 
@@ -16,44 +17,47 @@
 namespace
 {
 
-/// One thing that happens; `a` and `b` are reduced to valid ranges.
-struct happening
+/// One step of a script. `operation` selects the case in `apply_step`; `a` and
+/// `b` are its arguments, reduced to valid ranges there.
+struct script_step
 {
-    int kind = 0;
+    int operation = 0;
     unsigned a = 0;
     unsigned b = 0;
 };
 
-constexpr int happening_kinds = 12;
+constexpr int operation_count = 12;
 
-void happen(fake_fleet& fleet, const happening& what, std::size_t accounts)
+void apply_step(fake_fleet& fleet, const script_step& step,
+                std::size_t accounts)
 {
-    const std::size_t node = what.a % fleet.size();
-    const std::size_t account = what.b % accounts;
-    const bool up = fleet.running(node);
-    switch (what.kind)
+    const std::size_t node = step.a % fleet.size();
+    const std::size_t account = step.b % accounts;
+    const bool is_running = fleet.running(node);
+    switch (step.operation)
     {
     case 0:
     case 1:
     case 2:
-        if (up)
+        if (is_running)
             fleet.submit(node, account);
         return;
     case 3:
-        if (up)
+        if (is_running)
             fleet.submit(node, account, false);
         return;
     case 4:
     {
-        // One key through several instances at once and a little later.
-        const idempotency_key key = fleet.make_key(account, what.b);
+        // Submits one key through several instances, either at the same time or
+        // 400 ms apart.
+        const idempotency_key key = fleet.make_key(account, step.b);
         for (std::size_t i = 0; i < 3; ++i)
         {
-            const std::size_t through =
-                (node + i * (what.b % 3 + 1)) % fleet.size();
-            if (fleet.running(through))
-                fleet.submit(through, account, false, key);
-            if (what.b % 2 == 0)
+            const std::size_t entry =
+                (node + i * (step.b % 3 + 1)) % fleet.size();
+            if (fleet.running(entry))
+                fleet.submit(entry, account, false, key);
+            if (step.b % 2 == 0)
                 fleet.advance(std::chrono::milliseconds(400));
         }
         return;
@@ -71,21 +75,21 @@
         fleet.resume(node);
         return;
     case 9:
-        fleet.cut_domain(what.a % 3, what.b % 2 == 0);
+        fleet.cut_domain(step.a % 3, step.b % 2 == 0);
         return;
     case 10:
-        fleet.publish_members(what.b % 3 == 0 ? std::set<std::size_t>{}
+        fleet.publish_members(step.b % 3 == 0 ? std::set<std::size_t>{}
                                               : std::set<std::size_t>{node},
                               std::chrono::seconds(4));
         return;
     default:
-        fleet.advance(std::chrono::milliseconds(what.a % 4000));
+        fleet.advance(std::chrono::milliseconds(step.a % 4000));
         return;
     }
 }
 
-/// Heals everything and lets all requests come to their ends.
-void settle(fake_fleet& fleet)
+/// Removes all faults and runs the fleet until all requests have ended.
+void repair_and_drain(fake_fleet& fleet)
 {
     fleet.set_chances({});
     for (std::size_t i = 0; i < 3; ++i)
@@ -100,16 +104,19 @@
     fleet.advance(std::chrono::seconds(90));
 }
 
-void check_request(const outcome& known)
+/// Checks that a request got exactly one final answer, or at most one if its
+/// entry was killed, that it has not run if it was reported as not executed,
+/// and that it ran at most once if it is not idempotent.
+void check_request(const outcome& result)
 {
-    const int ends = known.completed + known.refused;
-    if (!known.entry_died)
-        RC_ASSERT(ends == 1);
-    RC_ASSERT(ends <= 1);
-    if (known.refused > 0 && known.ran == executed::no)
-        RC_ASSERT(known.runs == 0);
-    if (!known.spec.idempotent)
-        RC_ASSERT(known.runs <= 1);
+    const int final_answers = result.completed + result.refused;
+    if (!result.entry_died)
+        RC_ASSERT(final_answers == 1);
+    RC_ASSERT(final_answers <= 1);
+    if (result.refused > 0 && result.ran == executed::no)
+        RC_ASSERT(result.runs == 0);
+    if (!result.spec.idempotent)
+        RC_ASSERT(result.runs <= 1);
 }
 
 void check_invariants(fake_fleet& fleet)
@@ -121,26 +128,26 @@
         RC_ASSERT(fleet.events(number) == 0);
 }
 
-void run_script(const std::vector<happening>& script, std::uint64_t seed,
-                chances harm)
+void run_script(const std::vector<script_step>& script, std::uint64_t seed,
+                chances fault_chances)
 {
     fake_fleet::plan plan;
     plan.seed = seed;
     fake_fleet fleet(plan);
     fleet.advance(std::chrono::seconds(10));
-    fleet.set_chances(harm);
-    for (const happening& what : script)
+    fleet.set_chances(fault_chances);
+    for (const script_step& step : script)
     {
-        happen(fleet, what, plan.accounts);
+        apply_step(fleet, step, plan.accounts);
         fleet.advance(std::chrono::milliseconds(50));
     }
-    settle(fleet);
+    repair_and_drain(fleet);
     std::map<idempotency_key, int> runs_by_key;
-    for (const auto& [id, known] : fleet.outcomes())
+    for (const auto& [id, result] : fleet.outcomes())
     {
-        check_request(known);
-        if (known.spec.key)
-            runs_by_key[*known.spec.key] += known.runs;
+        check_request(result);
+        if (result.spec.key)
+            runs_by_key[*result.spec.key] += result.runs;
     }
     for (const auto& [key, runs] : runs_by_key)
         RC_ASSERT(runs <= 1);
@@ -149,60 +156,63 @@
     check_invariants(fleet);
 }
 
-rc::Gen<happening> any_happening()
+rc::Gen<script_step> arbitrary_step()
 {
-    return rc::gen::build<happening>(
-        rc::gen::set(&happening::kind, rc::gen::inRange(0, happening_kinds)),
-        rc::gen::set(&happening::a, rc::gen::inRange(0U, 100000U)),
-        rc::gen::set(&happening::b, rc::gen::inRange(0U, 100000U)));
+    return rc::gen::build<script_step>(
+        rc::gen::set(&script_step::operation,
+                     rc::gen::inRange(0, operation_count)),
+        rc::gen::set(&script_step::a, rc::gen::inRange(0U, 100000U)),
+        rc::gen::set(&script_step::b, rc::gen::inRange(0U, 100000U)));
 }
 
-// Found by rapidcheck when it prints a failing script.
-[[maybe_unused]] void showValue(const happening& what, std::ostream& out)
+// rapidcheck finds this overload by argument-dependent lookup when it prints a
+// failing script.
+[[maybe_unused]] void showValue(const script_step& step, std::ostream& out)
 {
-    out << '{' << what.kind << ", " << what.a << ", " << what.b << '}';
+    out << '{' << step.operation << ", " << step.a << ", " << step.b << '}';
 }
 
 } // namespace
 
 namespace rc
 {
-template <> struct Arbitrary<happening>
+template <> struct Arbitrary<script_step>
 {
-    static Gen<happening> arbitrary() { return any_happening(); }
+    static Gen<script_step> arbitrary() { return arbitrary_step(); }
 };
 } // namespace rc
 
 namespace
 {
 
-void check_scripts(const char* claim, const chances& harm)
+void check_random_scripts(const char* property, const chances& fault_chances)
 {
-    const bool held = rc::check(claim,
-                                [&](const std::vector<happening>& script)
-                                {
-                                    const auto seed =
-                                        *rc::gen::inRange(1U, 1000000U);
-                                    run_script(script, seed, harm);
-                                });
-    cr_assert(held);
+    const bool passed = rc::check(property,
+                                  [&](const std::vector<script_step>& script)
+                                  {
+                                      const auto seed =
+                                          *rc::gen::inRange(1U, 1000000U);
+                                      run_script(script, seed, fault_chances);
+                                  });
+    cr_assert(passed);
 }
 
 } // namespace
 
-Test(random, each_request_ends_once_and_truthfully)
+Test(random, each_request_ends_once_with_a_correct_result)
 {
-    check_scripts("every request ends once, and what is said of it is true",
-                  {.drop = 5,
-                   .duplicate = 5,
-                   .slow = 10,
-                   .nothing_sent = 5,
-                   .not_connected = 5,
-                   .fails = 5});
+    check_random_scripts(
+        "every request ends once with a correct execution status",
+        {.drop = 5,
+         .duplicate = 5,
+         .slow = 10,
+         .nothing_sent = 5,
+         .not_connected = 5,
+         .fails = 5});
 }
 
-Test(random, the_same_without_losses_in_the_network)
+Test(random, each_request_ends_once_without_random_message_loss)
 {
-    check_scripts("the same with failures of processes only",
-                  {.nothing_sent = 5, .not_connected = 5, .fails = 5});
+    check_random_scripts("every request ends once without random message loss",
+                         {.nothing_sent = 5, .not_connected = 5, .fails = 5});
 }
--- a/packages/core/unittests/regression_test.cpp
+++ b/packages/core/unittests/regression_test.cpp
@@ -1,4 +1,4 @@
-// Failures that the randomised runs found, each as a test of its own.
+// Regression tests of failures that the random tests found.
 #include "fake_fleet.hpp"
 
 #include <criterion/criterion.h>
@@ -9,13 +9,15 @@
 namespace
 {
 
-constexpr std::chrono::seconds longest(90);
+/// Time in which every request ends; the default deadline is 60 s.
+constexpr std::chrono::seconds max_request_duration(90);
 
 } // namespace
 
-// Seed 495817: an attempt failed after it was sent, the next one sent nothing,
-// and the refusal spoke only of the last: "no" for a request that had run.
-Test(regression, a_refusal_speaks_of_every_attempt)
+// Guards against a refusal that reports only the last attempt. With seed 495817
+// of the random tests, an attempt failed after it was sent and the next one
+// sent nothing; the refusal reported `executed::no` for a request that had run.
+Test(regression, a_refusal_accounts_for_every_attempt)
 {
     fake_fleet fleet({});
     fleet.advance(std::chrono::seconds(3));
@@ -24,15 +26,16 @@
     while (fleet.outcomes().at(id).runs == 0)
         fleet.advance(std::chrono::milliseconds(10));
     fleet.set_chances({.nothing_sent = 100});
-    fleet.advance(longest);
-    const outcome& known = fleet.outcomes().at(id);
-    cr_assert_eq(known.refused, 1);
-    cr_assert_eq(known.runs, 1);
-    cr_assert(known.ran == executed::unknown);
+    fleet.advance(max_request_duration);
+    const outcome& result = fleet.outcomes().at(id);
+    cr_assert_eq(result.refused, 1);
+    cr_assert_eq(result.runs, 1);
+    cr_assert(result.ran == executed::unknown);
 }
 
-// The counter of this reason stood in the metrics and was never raised.
-Test(regression, retries_after_a_failed_connect_are_counted_as_such)
+// Guards against a retry reason whose counter is exported in the metrics but
+// never incremented.
+Test(regression, retries_after_a_failed_connect_are_counted_under_that_reason)
 {
     fake_fleet fleet({});
     fleet.advance(std::chrono::seconds(3));
@@ -47,13 +50,13 @@
     while (retries() == 0)
         fleet.advance(std::chrono::milliseconds(10));
     fleet.set_chances({});
-    fleet.advance(longest);
+    fleet.advance(max_request_duration);
     cr_assert_eq(fleet.outcomes().at(id).completed, 1);
     cr_assert_eq(fleet.outcomes().at(id).runs, 1);
 }
 
-// Guards against endpoints that are ejected for all instances because one that
-// was late let a lease pass and sent them nothing.
+// Guards against ejection of an endpoint for all instances because one slow
+// instance let a lease expire and sent nothing to the endpoint.
 Test(regression, an_attempt_that_was_not_sent_ejects_no_endpoint)
 {
     fake_fleet fleet({});
@@ -65,9 +68,9 @@
     cr_expect_eq(fleet.events(event_number::endpoint_ejected), 0);
 }
 
-// Guards against requests that are refused because each of their attempts goes
-// to the endpoint that the entry does not know.
-Test(regression, an_attempt_that_was_not_sent_is_followed_by_one_elsewhere)
+// Guards against refusal of a request because each of its attempts goes to an
+// endpoint that is missing from the entry's configuration.
+Test(regression, an_attempt_that_was_not_sent_is_retried_at_another_endpoint)
 {
     fake_fleet fleet({});
     for (std::size_t domain = 0; domain < 3; ++domain)
