--- a/packages/core/include/sycamorelock/core/topology.hpp
+++ b/packages/core/include/sycamorelock/core/topology.hpp
@@ -41,7 +41,8 @@
     service_id id;
     std::string name;
     service_kind kind = service_kind::model;
-    /// Estimated cost of a request before any request has completed.
+    /// Estimated cost of a request without a cost hint, until the cost of an
+    /// earlier request of the same account is known.
     cost first_estimate{200};
     std::chrono::milliseconds default_deadline{60000};
     /// Largest number of requests that wait at one scheduler, in total and per
--- a/packages/core/lib/control_state.cpp
+++ b/packages/core/lib/control_state.cpp
@@ -174,6 +174,8 @@
 void control_state::configure_scheduler(shard_scheduler& target,
                                         const shard_spec& shard)
 {
+    // In mode `alone`, every instance schedules all endpoints of a service and
+    // uses an equal part of their slots.
     std::uint32_t slot_divisor = 1;
     if (options_.mode == scheduling_mode::alone)
     {
