--- a/packages/core/include/sycamorelock/core/service_exchange.hpp
+++ b/packages/core/include/sycamorelock/core/service_exchange.hpp
@@ -1,10 +1,11 @@
-// Service that the schedulers of one service give, per client account, counted
-// once by each of them in whatever order it is heard of.
+// Exchange of service totals between the schedulers of one service.
 //
+// Each scheduler counts the service that every other one has provided to each
+// client account exactly once, regardless of the order in which reports arrive.
 // The virtual time of an account is a base plus the sum of running totals over
-// all schedulers. Totals only replace their predecessors and bases merge by
-// their maximum, so reports may be lost, repeated, late or come from two owners
-// of one shard, and the schedulers agree again once they have heard the same.
+// all schedulers. A newer total replaces the older one and bases merge by their
+// maximum, so reports may be lost, repeated, late or sent by two owners of one
+// shard: the schedulers converge once they have received the same totals.
 #pragma once
 
 #include "sycamorelock/core/fair_queue.hpp"
@@ -20,16 +21,19 @@
 
 struct exchange_options
 {
-    /// Off for the baselines without exchange between schedulers.
+    /// False in the baseline modes, whose schedulers exchange no reports.
     bool enabled = true;
     duration period = std::chrono::milliseconds(150);
-    /// Bytes a second that reports may use; the period is stretched.
+    /// Bandwidth limit for reports; the period is extended to stay below it.
+    /// One budget covers the copies to all receivers.
     std::size_t bytes_per_second = 1000;
     std::size_t max_report_items = 256;
-    /// Wait of a new scheduler for the virtual times of another.
-    duration join_limit = std::chrono::seconds(1);
-    /// Wait after a change of owners, until all have learnt of it, and between
-    /// the snapshots that follow. A message that takes longer may be missed.
+    /// Time that a new scheduler waits for a snapshot of a peer's virtual times
+    /// before it starts without one.
+    duration join_timeout = std::chrono::seconds(1);
+    /// Delay from a change of owners to the first snapshot request, within
+    /// which all instances should have applied the change, and interval between
+    /// the requests that follow. A message delayed for longer may be missed.
     duration resync_period = std::chrono::seconds(3);
     std::size_t max_snapshot_items = 2048;
 };
@@ -37,25 +41,32 @@
 class service_exchange
 {
   public:
-    /// \param epoch names the totals of this scheduler; a scheduler that lost
-    /// its memory takes another one.
+    /// \param epoch identifies the series of totals of this scheduler. A
+    /// scheduler that restarts without its state uses a different epoch.
     service_exchange(shard_id id, exchange_options options, std::uint32_t epoch,
                      time_point now, fair_queue& queue, outbox& out);
 
-    /// Follows the owners of the other shards of the service.
+    /// Sets the owners of the other shards of the service. If an owner changed,
+    /// known totals are repeated and new snapshots are requested.
     void set_owners(time_point now, std::map<shard_id, instance_id> owners);
+    /// Returns the instances that receive reports: the owners of the other
+    /// shards.
     [[nodiscard]] std::set<instance_id> receivers() const;
 
-    /// Notes service given here, which the queue has charged already.
+    /// Adds service provided by this scheduler, which the queue has already
+    /// charged.
     void add_own(account_id account, cost amount);
-    /// Notes that the account's virtual time was raised without service.
+    /// Marks the account's virtual time as raised without service, so that the
+    /// next report includes the new value.
     void note_lift(account_id account) { lifted_.insert(account); }
-    /// Whether requests of the account wait at another scheduler.
+    /// Returns true if another scheduler has recently reported waiting requests
+    /// of the account.
     [[nodiscard]] bool waits_elsewhere(time_point now,
                                        account_id account) const;
 
-    /// Whether service of peers may not be counted yet, after a start or a
-    /// change of owners.
+    /// Returns true after a start or a change of owners until the resulting
+    /// snapshot requests have been sent. Until then service provided by peers
+    /// may be missing from the virtual times.
     [[nodiscard]] bool resyncing() const
     {
         return joining_ || snapshots_due_ > 0;
@@ -65,43 +76,44 @@
                    const service_report& message);
     void on_snapshot_request(time_point now, instance_id from);
     void on_snapshot(time_point now, const snapshot& message);
-    /// Sends what is due.
+    /// Sends the snapshot request and the report that are due.
     void tick(time_point now);
-    /// Tells all totals to the owners of the service's shards, as the last
-    /// thing before this one is scheduled elsewhere: nobody will report them
-    /// again.
+    /// Sends all totals to the owners of the service's shards. Called last,
+    /// before another instance takes over this shard, because no scheduler
+    /// reports these totals again.
     void hand_over(std::map<shard_id, instance_id> owners);
 
   private:
     using totals_key = std::pair<shard_id, std::uint32_t>;
     using account_totals = std::map<account_id, std::int64_t>;
-    struct totals_seen
+    struct peer_totals
     {
         account_totals totals;
-        /// Totals that a snapshot told before their reports arrived. A lower
-        /// one in a report is older, not a correction.
-        account_totals told_early;
-        time_point heard;
+        /// Totals from a snapshot whose own reports have not arrived yet. A
+        /// report with a lower total is older than the snapshot; it does not
+        /// correct the total downwards.
+        account_totals snapshot_totals;
+        time_point last_received;
     };
 
-    totals_seen& seen_of(time_point now, const totals_key& key);
+    peer_totals& find_or_add_totals(time_point now, const totals_key& key);
     void retire_totals(time_point now);
-    void take_retired(const snapshot& message);
-    void add_service(account_id account, std::int64_t amount);
-    void count(totals_seen& seen, const service_report::item& item);
+    void merge_retired(const snapshot& message);
+    void add_peer_service(account_id account, std::int64_t amount);
+    void apply_total(peer_totals& known, const service_report::item& item);
     void limit_debt();
-    account_totals count_included(time_point now, const snapshot& message);
-    [[nodiscard]] virtual_time to_virtual(account_id account,
-                                          std::int64_t amount) const;
-    [[nodiscard]] virtual_time counted_service(account_id account) const;
-    [[nodiscard]] std::set<account_id> accounts_with_news(bool full);
+    account_totals apply_included(time_point now, const snapshot& message);
+    [[nodiscard]] virtual_time to_virtual_time(account_id account,
+                                               std::int64_t amount) const;
+    [[nodiscard]] virtual_time counted_virtual_time(account_id account) const;
+    [[nodiscard]] std::set<account_id> accounts_with_changes(bool full);
     [[nodiscard]] std::vector<account_id> accounts_to_report(bool full);
     [[nodiscard]] service_report::item report_item(account_id account);
-    void note_waiting(time_point now, const service_report& message);
-    /// Returns to how many instances it was sent.
-    std::size_t send_to_owners(const service_report& message);
-    void report(time_point now);
-    void ask_for_snapshot(time_point now);
+    void update_waiting(time_point now, const service_report& message);
+    /// Returns the number of instances that the message was sent to.
+    std::size_t send_to_peers(const service_report& message);
+    void send_report(time_point now);
+    void request_snapshot(time_point now);
     void finish_joining(time_point now);
 
     shard_id id_;
@@ -111,35 +123,39 @@
     outbox& out_;
     std::map<shard_id, instance_id> owners_;
 
-    /// Service given here.
+    /// Service provided by this scheduler.
     account_totals totals_;
-    /// Totals of other schedulers that are counted here.
-    std::map<totals_key, totals_seen> seen_;
-    /// Replaced schedulers whose totals are kept as one sum only.
+    /// Totals of other schedulers that the virtual times include.
+    std::map<totals_key, peer_totals> peer_totals_;
+    /// Replaced schedulers whose totals are kept only as part of
+    /// `retired_sum_`.
     std::set<totals_key> retired_;
     account_totals retired_sum_;
-    /// All service that the virtual times include.
+    /// Service of all schedulers that the virtual times include.
     account_totals counted_;
 
     account_totals unreported_;
     std::set<account_id> reported_waiting_;
     std::set<account_id> lifted_;
-    /// Accounts that are told again, because peers may have missed them.
-    std::set<account_id> repeat_;
-    /// Accounts with requests waiting at a peer, and until when that holds.
+    /// Accounts to be reported again, because peers may have missed the earlier
+    /// report.
+    std::set<account_id> pending_repeats_;
+    /// Accounts with requests waiting at a peer, and when that information
+    /// expires.
     std::map<shard_id, std::map<account_id, time_point>> waiting_at_;
     time_point next_report_;
     time_point next_full_report_;
 
-    /// Until a peer's virtual times have come, service is not reported.
+    /// Set until a peer's virtual times have arrived or the join timeout has
+    /// passed. No service is reported meanwhile.
     bool joining_;
-    time_point joined_at_latest_;
-    std::vector<std::pair<instance_id, service_report>> early_reports_;
+    time_point join_deadline_;
+    std::vector<std::pair<instance_id, service_report>> deferred_reports_;
     time_point next_snapshot_request_;
     std::size_t snapshot_requests_ = 0;
     unsigned snapshots_due_ = 0;
-    /// Requests without an answer. Every answer counts, because a late one may
-    /// know less than the one after it.
+    /// Number of snapshot requests without a response. Every response is
+    /// applied, because a late one may include less than the next one does.
     unsigned snapshots_awaited_ = 0;
     bool has_snapshot_ = false;
 };
--- a/packages/core/lib/service_snapshots.cpp
+++ b/packages/core/lib/service_snapshots.cpp
@@ -1,5 +1,6 @@
-// Snapshots of virtual times with the totals that they include: how a scheduler
-// joins, and how schedulers agree again after owners have changed.
+// Snapshots of virtual times together with the totals that they include. They
+// initialise a scheduler that joins and make schedulers converge again after a
+// change of owners.
 #include "sycamorelock/core/service_exchange.hpp"
 
 #include <algorithm>
@@ -10,50 +11,56 @@
 namespace
 {
 
-/// Wait for a snapshot before another peer is asked.
-constexpr duration snapshot_patience = std::chrono::milliseconds(250);
-/// Time after which the totals of a replaced scheduler become part of a sum.
+/// Time that a joining scheduler waits for a snapshot before it sends the
+/// request to another peer.
+constexpr duration snapshot_timeout = std::chrono::milliseconds(250);
+/// Time without a report after which the totals of a replaced scheduler are
+/// merged into one sum.
 constexpr duration totals_lifetime = std::chrono::minutes(10);
+/// Limit of replaced schedulers that are remembered as part of the sum.
 constexpr std::size_t max_retired = 4096;
-/// Epoch under which a snapshot carries that sum; schedulers draw others.
+/// Epoch that marks the sum in a snapshot. Epochs of schedulers are odd and
+/// never equal it.
 constexpr std::uint32_t retired_epoch = 0;
 
 } // namespace
 
 void service_exchange::retire_totals(time_point now)
 {
-    // The last epoch of a shard is kept: its owner may be cut off for long.
-    std::map<shard_id, time_point> last;
-    for (const auto& [key, seen] : seen_)
+    // The latest epoch of a shard is kept, because its owner may be unreachable
+    // for a long time.
+    std::map<shard_id, time_point> latest;
+    for (const auto& [key, known] : peer_totals_)
     {
-        time_point& newest = last[key.first];
-        newest = std::max(newest, seen.heard);
+        time_point& newest = latest[key.first];
+        newest = std::max(newest, known.last_received);
     }
-    for (auto it = seen_.begin(); it != seen_.end();)
+    for (auto it = peer_totals_.begin(); it != peer_totals_.end();)
     {
-        const auto& [key, seen] = *it;
-        const bool old = now - seen.heard > totals_lifetime;
-        if (!old || seen.heard >= last[key.first] ||
+        const auto& [key, known] = *it;
+        const bool old = now - known.last_received > totals_lifetime;
+        if (!old || known.last_received >= latest[key.first] ||
             retired_.size() >= max_retired)
         {
             ++it;
             continue;
         }
-        for (const auto& [account, total] : seen.totals)
+        for (const auto& [account, total] : known.totals)
             retired_sum_[account] += total;
         retired_.insert(key);
-        it = seen_.erase(it);
+        it = peer_totals_.erase(it);
     }
 }
 
-void service_exchange::ask_for_snapshot(time_point now)
+void service_exchange::request_snapshot(time_point now)
 {
-    const bool wanted = joining_ || snapshots_due_ > 0;
-    if (!wanted || now < next_snapshot_request_)
+    const bool needed = joining_ || snapshots_due_ > 0;
+    if (!needed || now < next_snapshot_request_)
         return;
-    if (joining_ && now >= joined_at_latest_)
+    if (joining_ && now >= join_deadline_)
     {
-        // Nobody has answered, as after a restart of the whole fleet.
+        // No peer has responded, for example after a restart of the whole
+        // fleet.
         finish_joining(now);
         return;
     }
@@ -62,16 +69,17 @@
     if (!joining_)
         --snapshots_due_;
     next_snapshot_request_ =
-        now + (joining_ ? snapshot_patience : options_.resync_period);
+        now + (joining_ ? snapshot_timeout : options_.resync_period);
     ++snapshots_awaited_;
-    const auto turn = snapshot_requests_++ % owners_.size();
-    const auto peer = std::next(owners_.begin(), static_cast<long>(turn));
+    const auto peer_index = snapshot_requests_++ % owners_.size();
+    const auto peer = std::next(owners_.begin(), static_cast<long>(peer_index));
     out_.send(peer->second, snapshot_request{peer->first});
 }
 
 void service_exchange::on_snapshot_request(time_point now, instance_id from)
 {
-    // One that joins knows nothing itself; the sender asks the next one.
+    // A joining scheduler has no complete totals itself. The sender's request
+    // times out, and it sends the next one to another peer.
     if (joining_)
         return;
     retire_totals(now);
@@ -87,7 +95,7 @@
     const auto include =
         [&](const totals_key& key, const account_totals& totals)
     {
-        // No items stand for a scheduler that is part of the sum.
+        // An entry without items marks a scheduler that is part of the sum.
         if (totals.empty())
             return;
         snapshot::included_totals each{key.first, key.second, {}};
@@ -97,8 +105,8 @@
         answer.included.push_back(std::move(each));
     };
     include({id_, epoch_}, totals_);
-    for (const auto& [key, seen] : seen_)
-        include(key, seen.totals);
+    for (const auto& [key, known] : peer_totals_)
+        include(key, known.totals);
     for (const totals_key& key : retired_)
         answer.included.push_back({key.first, key.second, {}});
     include({id_, retired_epoch}, retired_sum_);
@@ -112,14 +120,16 @@
     --snapshots_awaited_;
     has_snapshot_ = true;
     if (joining_)
-        take_retired(message);
-    const account_totals included = count_included(now, message);
+        merge_retired(message);
+    const account_totals included = apply_included(now, message);
     for (const snapshot::item& item : message.items)
     {
         const auto found = included.find(item.account);
-        const std::int64_t theirs = found == included.end() ? 0 : found->second;
-        const virtual_time base = item.at - to_virtual(item.account, theirs);
-        queue_.adopt(item.account, base + counted_service(item.account));
+        const std::int64_t included_total =
+            found == included.end() ? 0 : found->second;
+        const virtual_time base =
+            item.at - to_virtual_time(item.account, included_total);
+        queue_.adopt(item.account, base + counted_virtual_time(item.account));
     }
     if (!joining_)
         return;
@@ -127,7 +137,7 @@
     finish_joining(now);
 }
 
-void service_exchange::take_retired(const snapshot& message)
+void service_exchange::merge_retired(const snapshot& message)
 {
     for (const snapshot::included_totals& each : message.included)
     {
@@ -140,13 +150,13 @@
         for (const snapshot::account_total& item : each.items)
         {
             retired_sum_[item.account] += item.total;
-            add_service(item.account, item.total);
+            add_peer_service(item.account, item.total);
         }
     }
 }
 
 service_exchange::account_totals
-service_exchange::count_included(time_point now, const snapshot& message)
+service_exchange::apply_included(time_point now, const snapshot& message)
 {
     account_totals included;
     for (const snapshot::included_totals& each : message.included)
@@ -159,18 +169,18 @@
             each.epoch == retired_epoch || retired_.contains(key);
         if (own || known_as_sum || each.items.empty())
             continue;
-        totals_seen& seen = seen_of(now, key);
+        peer_totals& known = find_or_add_totals(now, key);
         for (const snapshot::account_total& item : each.items)
         {
-            std::int64_t& seen_total = seen.totals[item.account];
-            const std::int64_t news = item.total - seen_total;
-            // A correction of an estimate may lower a total; the later report
-            // of its scheduler settles which one is newer.
-            if (news <= 0)
+            std::int64_t& known_total = known.totals[item.account];
+            const std::int64_t increase = item.total - known_total;
+            // A lower total is either older or a downward correction of an
+            // estimate. The next report of its scheduler decides which.
+            if (increase <= 0)
                 continue;
-            seen_total = item.total;
-            seen.told_early[item.account] = item.total;
-            add_service(item.account, news);
+            known_total = item.total;
+            known.snapshot_totals[item.account] = item.total;
+            add_peer_service(item.account, increase);
         }
     }
     return included;
@@ -180,10 +190,10 @@
 {
     joining_ = false;
     next_snapshot_request_ = now + options_.resync_period;
-    const auto reports = std::move(early_reports_);
-    early_reports_.clear();
-    for (const auto& [from, early] : reports)
-        on_report(now, from, early);
+    const auto reports = std::move(deferred_reports_);
+    deferred_reports_.clear();
+    for (const auto& [from, message] : reports)
+        on_report(now, from, message);
 }
 
 } // namespace sycamorelock::core
