--- a/packages/core/include/sycamorelock/core/cost_estimator.hpp
+++ b/packages/core/include/sycamorelock/core/cost_estimator.hpp
@@ -1,4 +1,4 @@
-// Learns what a client account's requests to a service cost.
+// Estimates the cost of a client account's requests to a service.
 #pragma once
 
 #include "sycamorelock/core/strong_types.hpp"
@@ -14,18 +14,23 @@
   public:
     explicit cost_estimator(std::size_t max_entries = 20000);
 
-    /// Estimate before a request runs. The hint counts only until true costs
-    /// have been seen, because hints are rough.
+    /// Estimates the cost of a request before it runs. Without earlier requests
+    /// returns the hint or, without a hint, `default_estimate`. Afterwards the
+    /// hint is only used scaled by the mean ratio of actual cost to hint,
+    /// because hints are rough.
     [[nodiscard]] cost estimate(account_id account, service_id service,
-                                std::optional<cost> hint, cost first) const;
+                                std::optional<cost> hint,
+                                cost default_estimate) const;
+    /// Updates the means with the actual cost of a request.
     void learn(account_id account, service_id service, std::optional<cost> hint,
                cost actual);
 
   private:
     struct entry
     {
+        /// Moving average of the actual cost.
         double mean = 0;
-        /// Mean of true cost divided by hint.
+        /// Moving average of the actual cost divided by the hint.
         double hint_ratio = 1;
         bool hint_seen = false;
     };
--- a/packages/core/lib/cost_estimator.cpp
+++ b/packages/core/lib/cost_estimator.cpp
@@ -1,4 +1,4 @@
-// Smoothed means of true costs.
+// Implements the exponential moving averages of actual costs.
 #include "sycamorelock/core/cost_estimator.hpp"
 
 #include <algorithm>
@@ -9,7 +9,8 @@
 
 namespace
 {
-constexpr double smoothing = 0.15;
+/// Weight of a new sample in the moving averages.
+constexpr double sample_weight = 0.15;
 } // namespace
 
 cost_estimator::cost_estimator(std::size_t max_entries)
@@ -18,11 +19,12 @@
 }
 
 cost cost_estimator::estimate(account_id account, service_id service,
-                              std::optional<cost> hint, cost first) const
+                              std::optional<cost> hint,
+                              cost default_estimate) const
 {
     const auto found = entries_.find({account, service});
     if (found == entries_.end())
-        return hint.value_or(first);
+        return hint.value_or(default_estimate);
     const entry& known = found->second;
     double value = known.mean;
     if (hint && known.hint_seen)
@@ -36,17 +38,17 @@
     const auto key = std::make_pair(account, service);
     if (entries_.size() >= max_entries_ && !entries_.contains(key))
         entries_.erase(entries_.begin());
-    const auto [found, fresh] = entries_.try_emplace(key);
+    const auto [found, inserted] = entries_.try_emplace(key);
     entry& known = found->second;
     const auto sample = static_cast<double>(actual.value());
     known.mean =
-        fresh ? sample : known.mean + smoothing * (sample - known.mean);
+        inserted ? sample : known.mean + sample_weight * (sample - known.mean);
     if (!hint || hint->value() <= 0)
         return;
     const double ratio = sample / static_cast<double>(hint->value());
     known.hint_ratio =
         known.hint_seen
-            ? known.hint_ratio + smoothing * (ratio - known.hint_ratio)
+            ? known.hint_ratio + sample_weight * (ratio - known.hint_ratio)
             : ratio;
     known.hint_seen = true;
 }
--- a/packages/core/lib/endpoint_pool.cpp
+++ b/packages/core/lib/endpoint_pool.cpp
@@ -1,4 +1,4 @@
-// Slot accounting of one shard.
+// Implements the slot accounting of one shard.
 #include "sycamorelock/core/endpoint_pool.hpp"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace
 {
-/// Prefixes remembered per shard; the map is emptied when it is full.
+/// Limit of prompt prefixes stored per shard. The map is cleared when full.
 constexpr std::size_t max_prefixes = 4096;
 } // namespace
 
@@ -22,57 +22,60 @@
                               duration target_token_delay,
                               std::uint32_t divide_slots)
 {
-    assert(divide_slots > 0 && "slots are divided by at least one router");
+    assert(divide_slots > 0 && "slots are divided among at least one router");
     target_token_delay_ = target_token_delay;
     for (auto& [id, endpoint] : endpoints_)
-        endpoint.listed = false;
+        endpoint.configured = false;
     for (const endpoint_spec& spec : specs)
     {
         const bool known = endpoints_.contains(spec.id);
         state& endpoint = endpoints_[spec.id];
-        const std::uint32_t before = endpoint.slots;
+        const std::uint32_t old_slots = endpoint.slots;
         endpoint.spec = spec;
-        endpoint.listed = true;
+        endpoint.configured = true;
         endpoint.slots = (spec.slots + divide_slots - 1) / divide_slots;
-        if (!known || before != endpoint.slots)
+        if (!known || old_slots != endpoint.slots)
             endpoint.limit = endpoint.slots;
     }
-    // An endpoint that was taken out of the settings stays until it is empty.
-    std::erase_if(endpoints_, [](const auto& entry)
-                  { return !entry.second.listed && entry.second.used == 0; });
+    // An endpoint removed from the configuration stays until its slots are
+    // released.
+    std::erase_if(endpoints_,
+                  [](const auto& entry) {
+                      return !entry.second.configured && entry.second.used == 0;
+                  });
 }
 
 bool endpoint_pool::leaving(const state& endpoint)
 {
-    return endpoint.leaving_by_list || endpoint.leaving_by_report;
+    return endpoint.marked_leaving || endpoint.reported_leaving;
 }
 
-void endpoint_pool::note_leaving(const state& endpoint, bool before)
+void endpoint_pool::emit_leaving_event(const state& endpoint, bool was_leaving)
 {
-    if (leaving(endpoint) && !before)
+    if (leaving(endpoint) && !was_leaving)
         out_.note(event_number::endpoint_leaving, endpoint.spec.name);
 }
 
-void endpoint_pool::set_leaving(endpoint_id id, bool by_list)
+void endpoint_pool::set_leaving(endpoint_id id, bool leaves)
 {
     const auto found = endpoints_.find(id);
     if (found == endpoints_.end())
         return;
-    const bool before = leaving(found->second);
-    found->second.leaving_by_list = by_list;
-    note_leaving(found->second, before);
+    const bool was_leaving = leaving(found->second);
+    found->second.marked_leaving = leaves;
+    emit_leaving_event(found->second, was_leaving);
 }
 
-std::uint32_t endpoint_pool::free_of(const state& endpoint)
+std::uint32_t endpoint_pool::free_slots_of(const state& endpoint)
 {
-    if (!endpoint.listed || leaving(endpoint) || endpoint.ejected)
+    if (!endpoint.configured || leaving(endpoint) || endpoint.ejected)
         return 0;
-    const auto& samples = endpoint.foreign;
-    const std::uint32_t foreign =
-        *std::min_element(samples.begin(), samples.end());
+    const auto& foreign_samples = endpoint.foreign_load;
+    const std::uint32_t foreign_load =
+        *std::min_element(foreign_samples.begin(), foreign_samples.end());
     const auto limit = static_cast<std::uint32_t>(endpoint.limit);
-    const std::uint32_t busy = endpoint.used + foreign;
-    return busy >= limit ? 0 : limit - busy;
+    const std::uint32_t occupied = endpoint.used + foreign_load;
+    return occupied >= limit ? 0 : limit - occupied;
 }
 
 std::optional<endpoint_id> endpoint_pool::pick(std::uint32_t prefix,
@@ -80,25 +83,26 @@
 {
     if (prefix != 0)
     {
-        const auto warm = prefixes_.find(prefix);
-        if (warm != prefixes_.end() && warm->second != tried)
+        const auto cached = prefix_endpoints_.find(prefix);
+        if (cached != prefix_endpoints_.end() && cached->second != tried)
         {
-            const auto found = endpoints_.find(warm->second);
-            if (found != endpoints_.end() && free_of(found->second) > 0)
-                return warm->second;
+            const auto found = endpoints_.find(cached->second);
+            if (found != endpoints_.end() && free_slots_of(found->second) > 0)
+                return cached->second;
         }
     }
     const state* best = nullptr;
     double best_score = 0;
     for (const auto& [id, endpoint] : endpoints_)
     {
-        const std::uint32_t free = free_of(endpoint);
+        const std::uint32_t free = free_slots_of(endpoint);
         if (free == 0)
             continue;
-        // A recent failure weighs more than any difference in load.
-        const std::uint32_t against = endpoint.failures + (id == tried ? 1 : 0);
+        // The free fraction is at most 1, so one recent failure outweighs any
+        // difference in load.
+        const std::uint32_t penalty = endpoint.failures + (id == tried ? 1 : 0);
         const double score = static_cast<double>(free) / endpoint.slots -
-                             static_cast<double>(against);
+                             static_cast<double>(penalty);
         if (best != nullptr && score <= best_score)
             continue;
         best = &endpoint;
@@ -117,35 +121,39 @@
     ++found->second.used;
     if (prefix == 0)
         return;
-    if (prefixes_.size() >= max_prefixes)
-        prefixes_.clear();
-    prefixes_[prefix] = id;
+    if (prefix_endpoints_.size() >= max_prefixes)
+        prefix_endpoints_.clear();
+    prefix_endpoints_[prefix] = id;
 }
 
-void endpoint_pool::count_failure(time_point now, state& endpoint)
+void endpoint_pool::record_failure(time_point now, state& endpoint)
 {
     ++endpoint.failures;
-    if (endpoint.failures < options_.eject_after || endpoint.ejected)
+    if (endpoint.failures < options_.eject_after_failures || endpoint.ejected)
         return;
     endpoint.ejected = true;
     endpoint.ejected_until = now + options_.eject_for;
     out_.note(event_number::endpoint_ejected, endpoint.spec.name);
 }
 
-void endpoint_pool::adapt(time_point now, state& endpoint, duration token_delay)
+void endpoint_pool::adapt_limit(time_point now, state& endpoint,
+                                duration token_delay)
 {
     const auto slots = static_cast<double>(endpoint.slots);
     if (token_delay.count() > 0)
     {
-        static constexpr double smoothing = 0.2;
+        // Weight of a new sample in the exponential moving average.
+        static constexpr double sample_weight = 0.2;
         const auto sample = static_cast<double>(token_delay.count());
         const double before = endpoint.token_delay_us;
         endpoint.token_delay_us =
-            before == 0 ? sample : before + smoothing * (sample - before);
+            before == 0 ? sample : before + sample_weight * (sample - before);
     }
-    const double bound =
-        static_cast<double>(target_token_delay_.count()) * options_.slow_factor;
-    const bool slow = bound > 0 && endpoint.token_delay_us > bound;
+    const double max_delay_us =
+        static_cast<double>(target_token_delay_.count()) *
+        options_.max_slowdown_factor;
+    const bool slow =
+        max_delay_us > 0 && endpoint.token_delay_us > max_delay_us;
     if (!slow)
     {
         endpoint.limit = std::min(slots, endpoint.limit + 1 / endpoint.limit);
@@ -154,7 +162,7 @@
     if (now < endpoint.next_adapt)
         return;
     endpoint.next_adapt = now + options_.adapt_period;
-    endpoint.limit = std::max(1.0, endpoint.limit * options_.shrink);
+    endpoint.limit = std::max(1.0, endpoint.limit * options_.shrink_factor);
 }
 
 void endpoint_pool::give_back(time_point now, endpoint_id id,
@@ -164,17 +172,17 @@
     if (found == endpoints_.end())
         return;
     state& endpoint = found->second;
-    assert(endpoint.used > 0 && "a slot is given back once");
+    assert(endpoint.used > 0 && "a slot is released once");
     --endpoint.used;
     if (outcome == attempt_outcome::endpoint_failed)
     {
-        count_failure(now, endpoint);
+        record_failure(now, endpoint);
         return;
     }
     if (outcome != attempt_outcome::completed)
         return;
     endpoint.failures = 0;
-    adapt(now, endpoint, token_delay);
+    adapt_limit(now, endpoint, token_delay);
 }
 
 void endpoint_pool::on_load(endpoint_id id, const load_report& report)
@@ -183,14 +191,14 @@
     if (found == endpoints_.end())
         return;
     state& endpoint = found->second;
-    const bool before = leaving(endpoint);
-    endpoint.leaving_by_report = report.leaving;
-    note_leaving(endpoint, before);
-    const std::uint32_t foreign =
+    const bool was_leaving = leaving(endpoint);
+    endpoint.reported_leaving = report.leaving;
+    emit_leaving_event(endpoint, was_leaving);
+    const std::uint32_t foreign_load =
         report.running > endpoint.used ? report.running - endpoint.used : 0;
-    endpoint.foreign.at(endpoint.foreign_cursor) = foreign;
-    endpoint.foreign_cursor =
-        (endpoint.foreign_cursor + 1) % endpoint.foreign.size();
+    endpoint.foreign_load.at(endpoint.next_foreign_load) = foreign_load;
+    endpoint.next_foreign_load =
+        (endpoint.next_foreign_load + 1) % endpoint.foreign_load.size();
 }
 
 void endpoint_pool::tick(time_point now)
@@ -199,9 +207,10 @@
     {
         if (!endpoint.ejected || now < endpoint.ejected_until)
             continue;
-        // Slow start: one slot probes, and each success widens the limit.
+        // Slow start: the limit starts at one slot and grows with each success,
+        // and the next failure ejects the endpoint again.
         endpoint.ejected = false;
-        endpoint.failures = options_.eject_after - 1;
+        endpoint.failures = options_.eject_after_failures - 1;
         endpoint.limit = 1;
         out_.note(event_number::endpoint_restored, endpoint.spec.name);
     }
@@ -211,7 +220,7 @@
 {
     std::uint32_t total = 0;
     for (const auto& [id, endpoint] : endpoints_)
-        total += free_of(endpoint);
+        total += free_slots_of(endpoint);
     return total;
 }
 
@@ -228,7 +237,7 @@
     std::uint32_t total = 0;
     for (const auto& [id, endpoint] : endpoints_)
     {
-        if (!endpoint.listed || leaving(endpoint) || endpoint.ejected)
+        if (!endpoint.configured || leaving(endpoint) || endpoint.ejected)
             continue;
         total += static_cast<std::uint32_t>(endpoint.limit);
     }
