--- a/packages/core/unittests/endpoint_pool_test.cpp
+++ b/packages/core/unittests/endpoint_pool_test.cpp
@@ -1,4 +1,5 @@
-// Slots, ejection, slow start, adaptation and leaving of endpoints.
+// Tests slot accounting, ejection, slow start, adaptive limits and leaving
+// endpoints.
 #include "sycamorelock/core/endpoint_pool.hpp"
 
 #include <criterion/criterion.h>
@@ -29,8 +30,8 @@
         pool.configure({a, b}, std::chrono::milliseconds(25), 1);
     }
 
-    void end(endpoint_id id, attempt_outcome outcome, time_point at = start,
-             duration delay = duration(0))
+    void run_request(endpoint_id id, attempt_outcome outcome,
+                     time_point at = start, duration delay = duration(0))
     {
         pool.take(id, 0);
         pool.give_back(at, id, outcome, delay);
@@ -47,7 +48,8 @@
     cr_assert_eq(f.pool.free_slots(), 7U);
 }
 
-Test(endpoint_pool, the_same_prefix_prefers_its_endpoint_while_it_has_room)
+Test(endpoint_pool,
+     a_prefix_prefers_the_endpoint_that_served_it_while_a_slot_is_free)
 {
     fixture f;
     f.pool.take(f.first, 42);
@@ -57,7 +59,7 @@
     cr_assert(f.pool.pick(42) == f.second);
 }
 
-Test(endpoint_pool, one_that_was_tried_is_left_while_another_has_room)
+Test(endpoint_pool, another_endpoint_is_preferred_over_the_one_already_tried)
 {
     fixture f;
     cr_assert(f.pool.pick(0) == f.first);
@@ -69,51 +71,52 @@
     cr_assert(f.pool.pick(0, f.first) == f.first);
 }
 
-Test(endpoint_pool, repeated_failures_eject_and_a_probe_brings_back)
+Test(endpoint_pool, repeated_failures_eject_and_slow_start_restores)
 {
     fixture f;
     for (int i = 0; i < 3; ++i)
-        f.end(f.first, attempt_outcome::endpoint_failed);
+        f.run_request(f.first, attempt_outcome::endpoint_failed);
     cr_assert_eq(f.pool.usable_slots(), 4U);
     cr_assert(f.pool.pick(0) == f.second);
     f.pool.tick(start + std::chrono::seconds(6));
     cr_assert_eq(f.pool.usable_slots(), 5U, "slow start with one slot");
-    f.end(f.first, attempt_outcome::completed);
-    f.end(f.first, attempt_outcome::completed);
+    f.run_request(f.first, attempt_outcome::completed);
+    f.run_request(f.first, attempt_outcome::completed);
     cr_assert(f.pool.usable_slots() > 5U);
 }
 
-Test(endpoint_pool, slow_tokens_shrink_the_limit_and_fast_ones_widen_it)
+Test(endpoint_pool, slow_tokens_shrink_the_limit_and_fast_ones_raise_it)
 {
     fixture f;
     time_point at = start;
     for (int i = 0; i < 10; ++i)
     {
         at += std::chrono::seconds(2);
-        f.end(f.first, attempt_outcome::completed, at,
-              std::chrono::milliseconds(90));
+        f.run_request(f.first, attempt_outcome::completed, at,
+                      std::chrono::milliseconds(90));
     }
     const auto shrunk = f.pool.usable_slots();
     cr_assert(shrunk < 7U, "%u", shrunk);
     for (int i = 0; i < 60; ++i)
-        f.end(f.first, attempt_outcome::completed, at,
-              std::chrono::milliseconds(10));
+        f.run_request(f.first, attempt_outcome::completed, at,
+                      std::chrono::milliseconds(10));
     cr_assert_eq(f.pool.usable_slots(), 8U);
 }
 
-Test(endpoint_pool, load_that_is_not_ours_takes_slots)
+Test(endpoint_pool, load_from_other_senders_occupies_slots)
 {
     fixture f;
     f.pool.on_load(f.first, {3, false});
-    cr_assert_eq(f.pool.free_slots(), 8U, "one sample may be our own past");
+    cr_assert_eq(f.pool.free_slots(), 8U,
+                 "one sample may be past load of this pool");
     f.pool.on_load(f.first, {3, false});
     f.pool.on_load(f.first, {3, false});
     cr_assert_eq(f.pool.free_slots(), 5U);
 }
 
-// Found by fleet_shutdown_test: a load report without "leaving" undid what the
-// platform's list had said.
-Test(endpoint_pool, leaving_by_the_list_is_not_undone_by_a_report)
+// Guards against a load report without the leaving flag that clears the mark
+// set from the platform's list. Found by fleet_shutdown_test.
+Test(endpoint_pool, a_load_report_does_not_clear_the_leaving_mark_of_the_list)
 {
     fixture f;
     f.pool.set_leaving(f.first, true);
--- a/packages/core/unittests/service_exchange_test.cpp
+++ b/packages/core/unittests/service_exchange_test.cpp
@@ -1,5 +1,5 @@
-// Schedulers of one service agree on who got how much, in whatever order they
-// hear of it.
+// Tests that the schedulers of one service converge to the same virtual times
+// regardless of the order in which messages arrive.
 #include "sycamorelock/core/service_exchange.hpp"
 
 #include <criterion/criterion.h>
@@ -22,7 +22,7 @@
     scheduler(std::size_t index, std::uint32_t epoch, time_point now)
         : shard{service_id::of("planner"), domain_id::of("d"),
                 static_cast<std::uint32_t>(index)},
-          name(instance_id::of("i" + std::to_string(index))), queue({}),
+          instance(instance_id::of("i" + std::to_string(index))), queue({}),
           exchange(shard, {}, epoch, now, queue, out)
     {
         queue.set_weight(north, 1);
@@ -42,18 +42,18 @@
     }
 
     shard_id shard;
-    instance_id name;
+    instance_id instance;
     outbox out;
     fair_queue queue;
     service_exchange exchange;
 };
 
-/// Schedulers with a channel from each to each that keeps the order. A message
-/// takes at most two seconds.
-class service
+/// Schedulers of one service with an ordered channel from each one to each
+/// other. A message is delivered after at most two seconds.
+class scheduler_group
 {
   public:
-    explicit service(std::size_t count)
+    explicit scheduler_group(std::size_t count)
     {
         for (std::size_t i = 0; i < count; ++i)
             schedulers_.push_back(std::make_unique<scheduler>(
@@ -64,22 +64,23 @@
     scheduler& at(std::size_t index) { return *schedulers_.at(index); }
     [[nodiscard]] std::size_t size() const { return schedulers_.size(); }
 
-    /// The scheduler loses its memory; what it sent may be lost with it.
-    void restart(std::size_t index, std::uint32_t epoch, bool lose)
+    /// Replaces a scheduler by one without state and with a new epoch. With
+    /// `lose_messages`, its undelivered messages are lost.
+    void restart(std::size_t index, std::uint32_t epoch, bool lose_messages)
     {
-        if (lose)
+        if (lose_messages)
         {
             for (std::size_t to = 0; to < size(); ++to)
                 channels_[{index, to}].clear();
         }
         schedulers_[index] = std::make_unique<scheduler>(index, epoch, now_);
-        // Its peers learn of the new owner.
+        // Setting no owners first makes every scheduler see a change of owners.
         for (std::size_t i = 0; i < size(); ++i)
             at(i).exchange.set_owners(now_, {});
         connect();
     }
 
-    /// One scheduler asks two others for snapshots.
+    /// Makes one scheduler request snapshots from two others.
     void resync(std::size_t index)
     {
         at(index).exchange.set_owners(now_, {});
@@ -92,7 +93,7 @@
         for (std::size_t i = 0; i < size(); ++i)
         {
             at(i).exchange.tick(now_);
-            collect(i);
+            enqueue_sent(i);
         }
         deliver_older_than(std::chrono::seconds(2));
     }
@@ -106,12 +107,12 @@
         channel.pop_front();
         scheduler& target = at(to);
         if (const auto* report = std::get_if<service_report>(&message))
-            target.exchange.on_report(now_, at(from).name, *report);
+            target.exchange.on_report(now_, at(from).instance, *report);
         if (std::holds_alternative<snapshot_request>(message))
-            target.exchange.on_snapshot_request(now_, at(from).name);
-        if (const auto* known = std::get_if<snapshot>(&message))
-            target.exchange.on_snapshot(now_, *known);
-        collect(to);
+            target.exchange.on_snapshot_request(now_, at(from).instance);
+        if (const auto* response = std::get_if<snapshot>(&message))
+            target.exchange.on_snapshot(now_, *response);
+        enqueue_sent(to);
     }
 
     void settle(duration length)
@@ -126,17 +127,17 @@
 
     /// Largest difference between two schedulers in the virtual time of one
     /// account.
-    [[nodiscard]] double disagreement()
+    [[nodiscard]] double max_divergence()
     {
-        double worst = 0;
+        double largest = 0;
         for (const account_id account : {north, south})
         {
             for (std::size_t i = 1; i < size(); ++i)
-                worst =
-                    std::max(worst, std::abs(at(i).queue.at(account).value() -
-                                             at(0).queue.at(account).value()));
+                largest = std::max(largest,
+                                   std::abs(at(i).queue.at(account).value() -
+                                            at(0).queue.at(account).value()));
         }
-        return worst;
+        return largest;
     }
 
   private:
@@ -161,19 +162,19 @@
             for (std::size_t j = 0; j < size(); ++j)
             {
                 if (i != j)
-                    owners.emplace(at(j).shard, at(j).name);
+                    owners.emplace(at(j).shard, at(j).instance);
             }
             at(i).exchange.set_owners(now_, owners);
         }
     }
 
-    void collect(std::size_t from)
+    void enqueue_sent(std::size_t from)
     {
         for (auto& [to, messages] : at(from).out.take_messages())
         {
             for (std::size_t i = 0; i < size(); ++i)
             {
-                if (at(i).name != to)
+                if (at(i).instance != to)
                     continue;
                 for (peer_message& message : messages)
                     channels_[{from, i}].emplace_back(now_, std::move(message));
@@ -190,65 +191,69 @@
 
 } // namespace
 
-Test(service_exchange, schedulers_agree_whatever_the_order_of_reports)
+Test(service_exchange, schedulers_converge_regardless_of_report_order)
 {
-    const bool holds = rc::check(
-        "agree after lost reports, restarts and lifts",
+    const bool converged = rc::check(
+        "schedulers converge after lost reports, restarts and lifts",
         []
         {
-            service planner(3);
-            planner.settle(std::chrono::seconds(4));
+            scheduler_group group(3);
+            group.settle(std::chrono::seconds(4));
             const auto length = *rc::gen::inRange(20, 120);
             std::uint32_t epoch = 101;
             for (int i = 0; i < length; ++i)
             {
-                const auto who = *rc::gen::inRange<std::size_t>(0, 3);
+                const auto index = *rc::gen::inRange<std::size_t>(0, 3);
                 const auto other = *rc::gen::inRange<std::size_t>(0, 3);
                 const account_id account = *rc::gen::element(north, south);
-                const int what = *rc::gen::inRange(0, 20);
-                if (what < 8)
-                    planner.at(who).serve(account, *rc::gen::inRange(1, 400));
-                else if (what < 10)
-                    planner.at(who).lift(account, *rc::gen::inRange(1, 900));
-                else if (what < 13)
-                    planner.step(std::chrono::milliseconds(150));
-                else if (what < 19)
-                    planner.deliver(who, other);
+                const int action = *rc::gen::inRange(0, 20);
+                if (action < 8)
+                    group.at(index).serve(account, *rc::gen::inRange(1, 400));
+                else if (action < 10)
+                    group.at(index).lift(account, *rc::gen::inRange(1, 900));
+                else if (action < 13)
+                    group.step(std::chrono::milliseconds(150));
+                else if (action < 19)
+                    group.deliver(index, other);
                 else
-                    planner.restart(who, epoch += 2,
-                                    *rc::gen::arbitrary<bool>());
+                    group.restart(index, epoch += 2,
+                                  *rc::gen::arbitrary<bool>());
             }
-            planner.settle(std::chrono::seconds(30));
-            RC_ASSERT(planner.disagreement() < 1e-6);
+            group.settle(std::chrono::seconds(30));
+            RC_ASSERT(group.max_divergence() < 1e-6);
         });
-    cr_assert(holds);
+    cr_assert(converged);
 }
 
-Test(service_exchange, replaced_schedulers_that_became_a_sum_count_once)
+Test(service_exchange,
+     totals_of_replaced_schedulers_merged_into_a_sum_count_once)
 {
-    service planner(3);
-    planner.settle(std::chrono::seconds(4));
-    planner.at(0).serve(north, 1000);
-    planner.settle(std::chrono::seconds(2));
-    planner.restart(0, 201, false);
-    planner.settle(std::chrono::minutes(6));
-    // This one hears of the replaced scheduler again and keeps it for longer.
-    planner.resync(2);
-    planner.settle(std::chrono::minutes(5));
-    // The others turn its totals into a sum as they answer each other.
-    planner.resync(0);
-    planner.settle(std::chrono::seconds(10));
-    planner.resync(1);
-    planner.settle(std::chrono::seconds(10));
-    for (std::size_t i = 0; i < planner.size(); ++i)
-        cr_assert_eq(planner.at(i).queue.at(north).value(), 1000, "%zu: %f", i,
-                     planner.at(i).queue.at(north).value());
-    // One that joins learns of it as a sum, and then as totals.
-    planner.restart(1, 203, false);
-    planner.settle(std::chrono::seconds(20));
-    planner.at(1).lift(north, 50);
-    planner.settle(std::chrono::seconds(20));
-    for (std::size_t i = 0; i < planner.size(); ++i)
-        cr_assert_eq(planner.at(i).queue.at(north).value(), 1050, "%zu: %f", i,
-                     planner.at(i).queue.at(north).value());
+    scheduler_group group(3);
+    group.settle(std::chrono::seconds(4));
+    group.at(0).serve(north, 1000);
+    group.settle(std::chrono::seconds(2));
+    group.restart(0, 201, false);
+    group.settle(std::chrono::minutes(6));
+    // A snapshot renews the totals of the replaced scheduler here, so this
+    // scheduler retires them later than the others do.
+    group.resync(2);
+    group.settle(std::chrono::minutes(5));
+    // The others merge these totals into a sum when they send snapshots to each
+    // other.
+    group.resync(0);
+    group.settle(std::chrono::seconds(10));
+    group.resync(1);
+    group.settle(std::chrono::seconds(10));
+    for (std::size_t i = 0; i < group.size(); ++i)
+        cr_assert_eq(group.at(i).queue.at(north).value(), 1000, "%zu: %f", i,
+                     group.at(i).queue.at(north).value());
+    // A joining scheduler receives the service first as part of a sum and then
+    // as separate totals.
+    group.restart(1, 203, false);
+    group.settle(std::chrono::seconds(20));
+    group.at(1).lift(north, 50);
+    group.settle(std::chrono::seconds(20));
+    for (std::size_t i = 0; i < group.size(); ++i)
+        cr_assert_eq(group.at(i).queue.at(north).value(), 1050, "%zu: %f", i,
+                     group.at(i).queue.at(north).value());
 }
