--- a/packages/core/unittests/fake_fleet.cpp
+++ b/packages/core/unittests/fake_fleet.cpp
@@ -1,4 +1,5 @@
-// Steps of the fake fleet. Its failures are in fake_fleet_faults.cpp.
+// Setup and simulation steps of the fake fleet. Injected faults are implemented
+// in fake_fleet_faults.cpp.
 #include "fake_node.hpp"
 #include "test_keys.hpp"
 
@@ -9,13 +10,17 @@
 
 namespace
 {
+
 constexpr duration step = std::chrono::milliseconds(10);
 constexpr duration tick_period = std::chrono::milliseconds(50);
+/// Wall-clock time at the origin of the simulated clock, in milliseconds since
+/// the Unix epoch.
 constexpr std::int64_t wall_base_ms = 1'700'000'000'000;
+
 } // namespace
 
-fake_fleet::fake_fleet(plan made)
-    : plan_(std::move(made)), random_(static_cast<std::uint32_t>(plan_.seed))
+fake_fleet::fake_fleet(plan chosen)
+    : plan_(std::move(chosen)), random_(static_cast<std::uint32_t>(plan_.seed))
 {
     const std::size_t count = plan_.domains * plan_.instances_per_domain;
     for (std::size_t i = 0; i < count; ++i)
@@ -24,7 +29,7 @@
         nodes_[i]->domain = i / plan_.instances_per_domain;
         nodes_[i]->name = "n" + std::to_string(i);
     }
-    current_list_ = make_members({});
+    newest_list_ = make_membership({});
     for (std::size_t i = 0; i < count; ++i)
         start(i);
 }
@@ -59,14 +64,14 @@
 void fake_fleet::lose_route(std::size_t index, std::size_t domain,
                             std::size_t endpoint)
 {
-    lost_routes_.emplace(index,
-                         endpoint_id::of(endpoint_name(domain, endpoint)));
+    hidden_endpoints_.emplace(index,
+                              endpoint_id::of(endpoint_name(domain, endpoint)));
 }
 
-topology fake_fleet::make_tree() const
+topology fake_fleet::make_topology() const
 {
-    topology tree;
-    tree.version = {1, 1};
+    topology config;
+    config.version = {1, 1};
     for (std::size_t i = 0; i < plan_.accounts; ++i)
     {
         account_spec spec;
@@ -74,7 +79,7 @@
         spec.name = "account" + std::to_string(i);
         if (i < plan_.weights.size())
             spec.weight = plan_.weights[i];
-        tree.accounts[spec.id] = spec;
+        config.accounts[spec.id] = spec;
     }
     service_spec service;
     service.id = service_id::of("planner");
@@ -91,11 +96,12 @@
             service.endpoints.push_back(spec);
         }
     }
-    tree.services[service.id] = service;
-    return tree;
+    config.services[service.id] = service;
+    return config;
 }
 
-membership fake_fleet::make_members(const std::set<std::size_t>& without) const
+membership
+fake_fleet::make_membership(const std::set<std::size_t>& without) const
 {
     membership list;
     list.version = list_version_;
@@ -112,7 +118,7 @@
     return list;
 }
 
-moment fake_fleet::current() const
+moment fake_fleet::current_moment() const
 {
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(
         now_.time_since_epoch());
@@ -121,33 +127,33 @@
 
 void fake_fleet::start(std::size_t index)
 {
-    fake_node& which = *nodes_[index];
-    which.live = true;
-    which.paused = false;
-    which.incarnation = (random_() | 1U);
-    which.sequence = 0;
-    which.seen.clear();
-    which.results.clear();
-    which.out = {this, index};
-    which.next_tick = now_;
+    fake_node& target = *nodes_[index];
+    target.live = true;
+    target.paused = false;
+    target.incarnation = (random_() | 1U);
+    target.sequence = 0;
+    target.seen.clear();
+    target.results.clear();
+    target.out = {this, index};
+    target.next_tick = now_;
     node_options options;
-    options.self = instance_id::of(which.name);
-    options.domain = domain(which.domain);
-    options.incarnation = which.incarnation;
-    options.seed = which.incarnation;
+    options.self = instance_id::of(target.name);
+    options.domain = domain(target.domain);
+    options.incarnation = target.incarnation;
+    options.seed = target.incarnation;
     options.mode = plan_.mode;
-    which.core =
-        std::make_unique<node<fake_node::sink>>(options, current(), which.out);
-    which.core->handle(current(),
-                       [&](control_state& s)
-                       {
-                           s.install_membership(current(), current_list_,
-                                                "list");
-                           s.install_config(current(), make_tree(), "tree");
-                       });
+    target.core = std::make_unique<node<fake_node::sink>>(
+        options, current_moment(), target.out);
+    target.core->handle(
+        current_moment(),
+        [&](control_state& s)
+        {
+            s.install_membership(current_moment(), newest_list_, "list");
+            s.install_config(current_moment(), make_topology(), "tree");
+        });
 }
 
-bool fake_fleet::chance(unsigned percent)
+bool fake_fleet::random_event(unsigned percent)
 {
     boost::random::uniform_int_distribution<unsigned> draw(0, 99);
     return draw(random_) < percent;
@@ -164,15 +170,15 @@
                          std::vector<peer_message> messages)
 {
     fake_node& sender = *nodes_[from];
-    packet made{now_ + plan_.network_delay, from, sender.incarnation,
+    packet sent{now_ + plan_.network_delay, from, sender.incarnation,
                 ++sender.sequence,          to,   std::move(messages)};
-    if (chance(chances_.drop))
+    if (random_event(fault_chances_.drop))
         return;
-    if (chance(chances_.slow))
-        made.due += std::chrono::milliseconds(700);
-    if (chance(chances_.duplicate))
-        packets_.push_back(made);
-    packets_.push_back(std::move(made));
+    if (random_event(fault_chances_.slow))
+        sent.due += std::chrono::milliseconds(700);
+    if (random_event(fault_chances_.duplicate))
+        packets_.push_back(sent);
+    packets_.push_back(std::move(sent));
 }
 
 void fake_fleet::deliver()
@@ -195,82 +201,84 @@
         fake_node& receiver = *nodes_[to];
         if (receiver.paused)
         {
-            // Waits in the socket's buffer until the process goes on.
+            // Kept, as in the socket's buffer, until the process resumes.
             packets_.push_back(std::move(each));
             continue;
         }
-        auto& seen = receiver.seen[each.from];
-        const bool replayed =
-            seen.first == each.incarnation && each.sequence <= seen.second;
+        auto& last_seen = receiver.seen[each.from];
+        const bool replayed = last_seen.first == each.incarnation &&
+                              each.sequence <= last_seen.second;
         if (replayed)
             continue;
-        seen = {each.incarnation, each.sequence};
+        last_seen = {each.incarnation, each.sequence};
         receiver.core->handle(
-            current(),
+            current_moment(),
             [&](control_state& s)
             {
                 for (const peer_message& content : each.messages)
-                    s.receive(current(),
+                    s.receive(current_moment(),
                               instance_id::of(nodes_[each.from]->name),
                               each.incarnation, content);
             });
     }
 }
 
-void fake_fleet::begin_attempt(std::size_t from, const dispatch& order)
+void fake_fleet::begin_attempt(std::size_t from, const dispatch& command)
 {
-    outcome& known = outcomes_.at(order.request);
-    run made;
-    made.node = from;
-    made.incarnation = nodes_[from]->incarnation;
-    made.account = known.spec.account;
-    made.result.request = order.request;
-    made.result.attempt = order.attempt;
-    std::optional<attempt_end> unsent;
-    const bool routed = !lost_routes_.contains({from, order.endpoint});
-    if (!routed || now_ >= order.valid_until || chance(chances_.nothing_sent))
-        unsent = attempt_end::nothing_sent;
-    else if (chance(chances_.not_connected))
-        unsent = attempt_end::not_connected;
-    if (unsent)
+    outcome& recorded = outcomes_.at(command.request);
+    running_attempt started;
+    started.node = from;
+    started.incarnation = nodes_[from]->incarnation;
+    started.account = recorded.spec.account;
+    started.result.request = command.request;
+    started.result.attempt = command.attempt;
+    std::optional<attempt_end> send_failure;
+    const bool routed = !hidden_endpoints_.contains({from, command.endpoint});
+    if (!routed || now_ >= command.valid_until ||
+        random_event(fault_chances_.nothing_sent))
+        send_failure = attempt_end::nothing_sent;
+    else if (random_event(fault_chances_.not_connected))
+        send_failure = attempt_end::not_connected;
+    if (send_failure)
     {
-        made.result.end = *unsent;
-        made.done = now_ + step;
-        runs_.push_back(made);
+        started.result.end = *send_failure;
+        started.done = now_ + step;
+        attempts_.push_back(started);
         return;
     }
-    ++known.runs;
+    ++recorded.runs;
     boost::random::uniform_int_distribution<std::int64_t> draw(plan_.least_cost,
                                                                plan_.most_cost);
     const std::int64_t total = draw(random_);
-    made.result.total = cost(total);
-    made.result.end = chance(chances_.fails) ? attempt_end::failed_before_answer
-                                             : attempt_end::completed;
-    made.done = now_ + plan_.per_cost * total;
-    runs_.push_back(made);
+    started.result.total = cost(total);
+    started.result.end = random_event(fault_chances_.fails)
+                             ? attempt_end::failed_before_answer
+                             : attempt_end::completed;
+    started.done = now_ + plan_.per_cost * total;
+    attempts_.push_back(started);
 }
 
 void fake_fleet::on_action(std::size_t from, const action& what)
 {
-    if (const auto* order = std::get_if<dispatch>(&what))
-        return begin_attempt(from, *order);
-    const auto* answer = std::get_if<refuse>(&what);
-    if (answer == nullptr)
+    if (const auto* command = std::get_if<dispatch>(&what))
+        return begin_attempt(from, *command);
+    const auto* refusal = std::get_if<refuse>(&what);
+    if (refusal == nullptr)
         return;
-    outcome& known = outcomes_.at(answer->request);
-    ++known.refused;
-    known.ran = answer->ran;
-    known.reason = answer->reason;
+    outcome& recorded = outcomes_.at(refusal->request);
+    ++recorded.refused;
+    recorded.ran = refusal->ran;
+    recorded.reason = refusal->reason;
 }
 
-void fake_fleet::finish_runs()
+void fake_fleet::finish_attempts()
 {
-    std::vector<run> left;
-    std::vector<run> done;
-    for (run& each : runs_)
+    std::vector<running_attempt> left;
+    std::vector<running_attempt> done;
+    for (running_attempt& each : attempts_)
         (each.done <= now_ ? done : left).push_back(each);
-    runs_.swap(left);
-    for (const run& each : done)
+    attempts_.swap(left);
+    for (const running_attempt& each : done)
     {
         fake_node& owner = *nodes_[each.node];
         service_[each.account] += each.result.total.value();
@@ -279,21 +287,21 @@
         if (owner.paused)
             owner.results.push_back(each.result);
         else
-            take_result(owner, each.result);
+            apply_result(owner, each.result);
     }
 }
 
-void fake_fleet::take_result(fake_node& owner, const attempt_result& result)
+void fake_fleet::apply_result(fake_node& owner, const attempt_result& result)
 {
     if (result.end == attempt_end::completed)
         ++outcomes_.at(result.request).completed;
-    owner.core->handle(current(),
-                       [&](control_state& s) { s.finish(current(), result); });
+    owner.core->handle(current_moment(), [&](control_state& s)
+                       { s.finish(current_moment(), result); });
 }
 
-void fake_fleet::deliver_lists()
+void fake_fleet::deliver_membership()
 {
-    for (auto it = late_lists_.begin(); it != late_lists_.end();)
+    for (auto it = pending_lists_.begin(); it != pending_lists_.end();)
     {
         const bool ready = it->due <= now_ && nodes_[it->node]->live &&
                            !nodes_[it->node]->paused;
@@ -303,9 +311,9 @@
             continue;
         }
         nodes_[it->node]->core->handle(
-            current(), [&](control_state& s)
-            { s.install_membership(current(), it->list, "list"); });
-        it = late_lists_.erase(it);
+            current_moment(), [&](control_state& s)
+            { s.install_membership(current_moment(), it->list, "list"); });
+        it = pending_lists_.erase(it);
     }
 }
 
@@ -315,16 +323,16 @@
     while (now_ < end)
     {
         now_ += step;
-        deliver_lists();
+        deliver_membership();
         deliver();
-        finish_runs();
+        finish_attempts();
         for (const auto& each : nodes_)
         {
             if (!each->live || each->paused || now_ < each->next_tick)
                 continue;
             each->next_tick = now_ + tick_period;
-            each->core->handle(current(),
-                               [&](control_state& s) { s.tick(current()); });
+            each->core->handle(current_moment(), [&](control_state& s)
+                               { s.tick(current_moment()); });
         }
     }
 }
@@ -336,28 +344,28 @@
                               std::chrono::milliseconds deadline)
 {
     fake_node& target = *nodes_.at(entry);
-    submission wanted;
-    wanted.id = {instance_id::of(target.name), target.incarnation,
-                 next_request_++};
-    wanted.account = account(account_index);
-    wanted.service = service_id::of("planner");
-    wanted.idempotent = idempotent;
-    wanted.key = key;
-    wanted.urgency = urgency;
-    wanted.deadline = deadline;
-    outcome made;
-    made.spec = wanted;
-    made.entry = entry;
-    outcomes_.emplace(wanted.id, made);
-    target.core->handle(current(),
-                        [&](control_state& s) { s.submit(current(), wanted); });
-    return wanted.id;
+    submission request;
+    request.id = {instance_id::of(target.name), target.incarnation,
+                  next_request_++};
+    request.account = account(account_index);
+    request.service = service_id::of("planner");
+    request.idempotent = idempotent;
+    request.key = key;
+    request.urgency = urgency;
+    request.deadline = deadline;
+    outcome submitted;
+    submitted.spec = request;
+    submitted.entry = entry;
+    outcomes_.emplace(request.id, submitted);
+    target.core->handle(current_moment(), [&](control_state& s)
+                        { s.submit(current_moment(), request); });
+    return request.id;
 }
 
 idempotency_key fake_fleet::make_key(std::size_t account_index,
                                      std::uint64_t number)
 {
-    return key_made(account(account_index), current().wall, number);
+    return key_made(account(account_index), current_moment().wall, number);
 }
 
 int fake_fleet::events(event_number number) const
--- a/packages/core/unittests/fake_fleet.hpp
+++ b/packages/core/unittests/fake_fleet.hpp
@@ -1,5 +1,6 @@
-// Several nodes with a fake clock, network and endpoints, driven step by step.
-// It only carries events between cores; it models no machine.
+// Test fleet of several nodes with a simulated clock, network and endpoints
+// that is advanced in steps. It only delivers events to the nodes' decision
+// logic and does not model the speed of a machine.
 #pragma once
 
 #include "sycamorelock/core/node.hpp"
@@ -13,27 +14,32 @@
 namespace sycamorelock::core::testing
 {
 
-/// Chances in percent of what the network does to one batch of messages, and
-/// of how an attempt ends.
+/// Fault probabilities in percent: the first three apply to each batch of
+/// messages, the others to each attempt.
 struct chances
 {
     unsigned drop = 0;
     unsigned duplicate = 0;
+    /// Delivery is delayed by 700 ms.
     unsigned slow = 0;
     unsigned nothing_sent = 0;
     unsigned not_connected = 0;
     unsigned fails = 0;
 };
 
-/// What became of a submitted request.
+/// Observed results of a submitted request.
 struct outcome
 {
     submission spec;
+    /// Index of the instance that the request was submitted to.
     std::size_t entry = 0;
+    /// Attempts that an endpoint executed.
     int runs = 0;
     int completed = 0;
     int refused = 0;
+    /// The instance was killed before it completed or refused the request.
     bool entry_died = false;
+    /// Of the last refusal.
     executed ran = executed::unknown;
     refusal_reason reason = refusal_reason::queue_full;
 };
@@ -47,20 +53,23 @@
         std::size_t instances_per_domain = 2;
         std::size_t accounts = 4;
         std::size_t endpoints_per_domain = 2;
+        /// Slots per endpoint.
         std::uint32_t slots = 2;
         scheduling_mode mode = scheduling_mode::full;
         std::uint64_t seed = 1;
+        /// Weights of the first client accounts; the others keep the default.
         std::vector<double> weights{};
         std::int64_t least_cost = 50;
         std::int64_t most_cost = 400;
+        /// Execution time per unit of cost.
         duration per_cost = std::chrono::milliseconds(2);
         duration network_delay = std::chrono::milliseconds(2);
     };
 
-    explicit fake_fleet(plan made);
+    explicit fake_fleet(plan chosen);
     ~fake_fleet();
 
-    /// Runs the fleet for a while in steps of ten milliseconds.
+    /// Advances the clock by `length` in steps of 10 ms.
     void advance(duration length);
     request_id submit(
         std::size_t entry, std::size_t account, bool idempotent = true,
@@ -70,18 +79,22 @@
 
     void kill(std::size_t index);
     void restart(std::size_t index);
-    /// The entry refuses new requests, as at the end of a graceful shutdown.
+    /// Makes an instance refuse new requests, as at the end of a graceful
+    /// shutdown.
     void stop_accepting(std::size_t index);
+    /// Stops a node's processing until `resume`; messages and results queue up.
     void pause(std::size_t index);
     void resume(std::size_t index);
-    /// Messages between the two sets are lost while a domain is cut off.
+    /// Cuts off a failure domain or reconnects it. Messages between it and the
+    /// other domains are lost while it is cut off.
     void cut_domain(std::size_t domain, bool cut);
-    /// Publishes a list without some instances; each node learns of it after
-    /// a lag of its own, at most `most_lag`.
+    /// Publishes a membership list without some instances. Each node receives
+    /// it after a random delay of its own of at most `max_lag`.
     void publish_members(const std::set<std::size_t>& without,
-                         duration most_lag);
-    void set_chances(chances what) { chances_ = what; }
-    /// A node does not know an endpoint, as with an older configuration.
+                         duration max_lag);
+    void set_chances(chances percent) { fault_chances_ = percent; }
+    /// Makes a node fail to send attempts to an endpoint, as if its older
+    /// configuration did not include it.
     void lose_route(std::size_t index, std::size_t domain,
                     std::size_t endpoint);
 
@@ -93,7 +106,9 @@
         return outcomes_;
     }
     [[nodiscard]] time_point now() const { return now_; }
+    /// Number of events of one type, over all nodes.
     [[nodiscard]] int events(event_number number) const;
+    /// Total cost of the account's attempts that have ended.
     [[nodiscard]] std::int64_t service_of(std::size_t account) const;
     [[nodiscard]] std::uint32_t used_slots() const;
     [[nodiscard]] std::size_t open_requests() const;
@@ -111,7 +126,7 @@
         instance_id to;
         std::vector<peer_message> messages;
     };
-    struct run
+    struct running_attempt
     {
         std::size_t node = 0;
         std::uint32_t incarnation = 0;
@@ -119,7 +134,7 @@
         attempt_result result;
         account_id account;
     };
-    struct late_list
+    struct pending_list
     {
         time_point due;
         std::size_t node = 0;
@@ -128,35 +143,35 @@
 
     void start(std::size_t index);
     void deliver();
-    void finish_runs();
-    void deliver_lists();
-    bool chance(unsigned percent);
-    [[nodiscard]] moment current() const;
+    void finish_attempts();
+    void deliver_membership();
+    bool random_event(unsigned percent);
+    [[nodiscard]] moment current_moment() const;
     [[nodiscard]] bool reachable(std::size_t from, std::size_t to) const;
     static std::string endpoint_name(std::size_t domain, std::size_t endpoint);
-    topology make_tree() const;
-    membership make_members(const std::set<std::size_t>& without) const;
+    topology make_topology() const;
+    membership make_membership(const std::set<std::size_t>& without) const;
     void on_send(std::size_t from, instance_id to,
                  std::vector<peer_message> messages);
     void on_action(std::size_t from, const action& what);
     void begin_attempt(std::size_t from, const dispatch& order);
-    void take_result(fake_node& owner, const attempt_result& result);
+    void apply_result(fake_node& owner, const attempt_result& result);
 
     plan plan_;
     boost::random::mt19937 random_;
-    chances chances_;
+    chances fault_chances_;
     time_point now_{std::chrono::seconds(1000)};
     std::vector<std::unique_ptr<fake_node>> nodes_;
     std::deque<packet> packets_;
-    std::vector<run> runs_;
-    std::vector<late_list> late_lists_;
+    std::vector<running_attempt> attempts_;
+    std::vector<pending_list> pending_lists_;
     std::set<std::size_t> cut_;
-    std::set<std::pair<std::size_t, endpoint_id>> lost_routes_;
+    std::set<std::pair<std::size_t, endpoint_id>> hidden_endpoints_;
     std::map<request_id, outcome> outcomes_;
     std::map<event_number, int> events_;
     std::map<account_id, std::int64_t> service_;
     std::uint64_t list_version_ = 1;
-    membership current_list_;
+    membership newest_list_;
     std::uint64_t next_request_ = 1;
 };
 
--- a/packages/core/unittests/fake_fleet_faults.cpp
+++ b/packages/core/unittests/fake_fleet_faults.cpp
@@ -1,4 +1,5 @@
-// Kills, pauses, cuts and late member lists of the fake fleet.
+// Fault injection of the fake fleet: killed and paused nodes, cut-off domains
+// and delayed membership lists.
 #include "fake_node.hpp"
 
 #include <boost/random/uniform_int_distribution.hpp>
@@ -8,14 +9,14 @@
 
 void fake_fleet::kill(std::size_t index)
 {
-    fake_node& which = *nodes_.at(index);
-    which.live = false;
-    for (auto& [id, known] : outcomes_)
+    fake_node& target = *nodes_.at(index);
+    target.live = false;
+    for (auto& [id, recorded] : outcomes_)
     {
-        if (known.entry != index || id.incarnation != which.incarnation)
+        if (recorded.entry != index || id.incarnation != target.incarnation)
             continue;
-        if (known.completed + known.refused == 0)
-            known.entry_died = true;
+        if (recorded.completed + recorded.refused == 0)
+            recorded.entry_died = true;
     }
 }
 
@@ -28,7 +29,7 @@
 
 void fake_fleet::stop_accepting(std::size_t index)
 {
-    nodes_.at(index)->core->handle(current(), [](control_state& s)
+    nodes_.at(index)->core->handle(current_moment(), [](control_state& s)
                                    { s.stop_accepting(); });
 }
 
@@ -39,15 +40,15 @@
 
 void fake_fleet::resume(std::size_t index)
 {
-    fake_node& which = *nodes_.at(index);
-    if (!which.paused)
+    fake_node& target = *nodes_.at(index);
+    if (!target.paused)
         return;
-    which.paused = false;
-    if (!which.live)
+    target.paused = false;
+    if (!target.live)
         return;
-    for (const attempt_result& result : which.results)
-        take_result(which, result);
-    which.results.clear();
+    for (const attempt_result& result : target.results)
+        apply_result(target, result);
+    target.results.clear();
 }
 
 void fake_fleet::cut_domain(std::size_t domain, bool cut)
@@ -59,18 +60,18 @@
 }
 
 void fake_fleet::publish_members(const std::set<std::size_t>& without,
-                                 duration most_lag)
+                                 duration max_lag)
 {
     ++list_version_;
-    current_list_ = make_members(without);
-    // An instance that sleeps finds only the newest list when it wakes.
-    std::erase_if(late_lists_, [this](const late_list& each)
+    newest_list_ = make_membership(without);
+    // A paused instance receives only the newest list after it resumes.
+    std::erase_if(pending_lists_, [this](const pending_list& each)
                   { return nodes_[each.node]->paused; });
-    boost::random::uniform_int_distribution<std::int64_t> draw(
-        0, most_lag.count());
+    boost::random::uniform_int_distribution<std::int64_t> draw(0,
+                                                               max_lag.count());
     for (std::size_t i = 0; i < nodes_.size(); ++i)
-        late_lists_.push_back(
-            {now_ + duration(draw(random_)), i, current_list_});
+        pending_lists_.push_back(
+            {now_ + duration(draw(random_)), i, newest_list_});
 }
 
 } // namespace sycamorelock::core::testing
