--- a/packages/core/unittests/fake_fleet.hpp
+++ b/packages/core/unittests/fake_fleet.hpp
@@ -154,7 +154,7 @@
     void on_send(std::size_t from, instance_id to,
                  std::vector<peer_message> messages);
     void on_action(std::size_t from, const action& what);
-    void begin_attempt(std::size_t from, const dispatch& order);
+    void begin_attempt(std::size_t from, const dispatch& command);
     void apply_result(fake_node& owner, const attempt_result& result);
 
     plan plan_;
