--- a/packages/adapters/include/sycamorelock/adapters/control_plane.hpp
+++ b/packages/adapters/include/sycamorelock/adapters/control_plane.hpp
@@ -49,8 +49,8 @@
   public:
     explicit control_sink(control_plane& owner) : owner_(owner) {}
     void send(core::instance_id to, std::vector<core::peer_message> messages);
-    void act(core::action what);
-    void note(core::event happened);
+    void perform_action(core::action what);
+    void record_event(core::event happened);
 
   private:
     control_plane& owner_;
@@ -75,8 +75,8 @@
     void submit(core::submission wanted,
                 std::shared_ptr<request_waiter> waiter);
     void caller_left(const core::request_id& id);
-    void progress(const core::request_id& id, std::uint32_t attempt,
-                  core::cost so_far);
+    void report_progress(const core::request_id& id, std::uint32_t attempt,
+                         core::cost so_far);
     void finish(const core::attempt_result& result);
     [[nodiscard]] std::shared_ptr<const routing_table> routes() const;
     [[nodiscard]] bool ready() const { return ready_.load(); }
--- a/packages/adapters/lib/control_plane.cpp
+++ b/packages/adapters/lib/control_plane.cpp
@@ -118,12 +118,12 @@
                       });
 }
 
-void control_plane::progress(const core::request_id& id, std::uint32_t attempt,
-                             core::cost so_far)
+void control_plane::report_progress(const core::request_id& id,
+                                    std::uint32_t attempt, core::cost so_far)
 {
     boost::asio::post(
         context_, [this, id, attempt, so_far]
-        { handle([&](auto& s) { s.progress(id, attempt, so_far); }); });
+        { handle([&](auto& s) { s.report_progress(id, attempt, so_far); }); });
 }
 
 void control_plane::finish(const core::attempt_result& result)
@@ -236,12 +236,12 @@
         owner_.links_->send(to, std::move(messages));
 }
 
-void control_sink::act(core::action what)
+void control_sink::perform_action(core::action what)
 {
     std::visit([this](const auto& kind) { owner_.run(kind); }, what);
 }
 
-void control_sink::note(core::event happened)
+void control_sink::record_event(core::event happened)
 {
     owner_.log_.write(static_cast<std::uint16_t>(happened.number),
                       {{"detail", happened.detail}});
--- a/packages/adapters/lib/endpoint_call.cpp
+++ b/packages/adapters/lib/endpoint_call.cpp
@@ -265,8 +265,8 @@
         if (passed < next_progress_)
             continue;
         next_progress_ = passed + progress_period;
-        context_.control.progress(order_.request, order_.attempt,
-                                  cost_so_far());
+        context_.control.report_progress(order_.request, order_.attempt,
+                                         cost_so_far());
     }
     if (!streamed)
         co_return attempt_end::completed;
--- a/packages/adapters/lib/request_fields.cpp
+++ b/packages/adapters/lib/request_fields.cpp
@@ -74,7 +74,7 @@
         throw field_error("Idempotency-Key must be a UUID of version 7");
     }
     core::wall_time made{0};
-    if (!core::time_of_key(key, made))
+    if (!core::key_creation_time(key, made))
         throw field_error("Idempotency-Key must be a UUID of version 7");
     return key;
 }
--- a/packages/core/include/sycamorelock/core/control_state.hpp
+++ b/packages/core/include/sycamorelock/core/control_state.hpp
@@ -55,7 +55,7 @@
     void receive(moment now, instance_id from, std::uint32_t incarnation,
                  const peer_message& content);
     /// Handles a message that this instance sent to itself.
-    void receive_own(moment now, const peer_message& content);
+    void handle_local_message(moment now, const peer_message& content);
 
     /// Puts a checked configuration in force, and keeps its text to send to
     /// other instances. Returns false if its version is not newer.
@@ -69,7 +69,8 @@
     /// Handles the end of an attempt.
     void finish(moment now, const attempt_result& result);
     /// Records the cost so far of a running attempt.
-    void progress(const request_id& id, std::uint32_t attempt, cost so_far);
+    void report_progress(const request_id& id, std::uint32_t attempt,
+                         cost so_far);
     /// Handles a load report of an endpoint.
     void on_load(moment now, service_id service, endpoint_id endpoint,
                  const load_report& report);
--- a/packages/core/include/sycamorelock/core/entry.hpp
+++ b/packages/core/include/sycamorelock/core/entry.hpp
@@ -107,7 +107,8 @@
     void submit(time_point now, const submission& submitted);
     void caller_left(time_point now, const request_id& id);
     /// Records the cost of a running attempt for the next lease renewal.
-    void progress(const request_id& id, std::uint32_t attempt, cost so_far);
+    void report_progress(const request_id& id, std::uint32_t attempt,
+                         cost so_far);
     /// Ends the attempt; retries the request or ends it, too.
     void finish(time_point now, const attempt_result& result);
     /// Refuses all later submissions; open requests continue.
--- a/packages/core/include/sycamorelock/core/key_owner.hpp
+++ b/packages/core/include/sycamorelock/core/key_owner.hpp
@@ -25,7 +25,7 @@
 
 /// Reads the creation time of a UUIDv7 (RFC 9562, section 5.7). Returns false
 /// and leaves `created` unchanged if the version field is not 7.
-bool time_of_key(const idempotency_key& key, wall_time& created);
+bool key_creation_time(const idempotency_key& key, wall_time& created);
 
 /// Grants each idempotency key to at most one request.
 class key_owner
@@ -45,7 +45,7 @@
     /// Keeps all claims, but grants no new key created before `now`. Called
     /// after the process was suspended, because another instance may have owned
     /// its keys meanwhile.
-    void restart(wall_time now) { trusted_since_ = now; }
+    void reset_trusted_since(wall_time now) { trusted_since_ = now; }
 
     /// Removes claims whose keys are too old to be claimed again.
     void expire(wall_time now);
--- a/packages/core/include/sycamorelock/core/node.hpp
+++ b/packages/core/include/sycamorelock/core/node.hpp
@@ -19,8 +19,8 @@
                              event occurrence)
 {
     sink.send(to, std::move(messages));
-    sink.act(std::move(command));
-    sink.note(std::move(occurrence));
+    sink.perform_action(std::move(command));
+    sink.record_event(std::move(occurrence));
 };
 
 /// Passes inputs to the control state and drains its outbox after each.
@@ -60,13 +60,13 @@
                     continue;
                 }
                 for (const peer_message& content : contents)
-                    state_.receive_own(now, content);
+                    state_.handle_local_message(now, content);
             }
         }
         for (action& command : state_.out().take_actions())
-            sink_.act(std::move(command));
+            sink_.perform_action(std::move(command));
         for (event& occurrence : state_.out().take_events())
-            sink_.note(std::move(occurrence));
+            sink_.record_event(std::move(occurrence));
     }
 
     control_state state_;
--- a/packages/core/include/sycamorelock/core/outbox.hpp
+++ b/packages/core/include/sycamorelock/core/outbox.hpp
@@ -89,8 +89,11 @@
     {
         messages_[to].push_back(std::move(content));
     }
-    void act(action command) { actions_.push_back(std::move(command)); }
-    void note(event_number number, std::string detail = {})
+    void perform_action(action command)
+    {
+        actions_.push_back(std::move(command));
+    }
+    void record_event(event_number number, std::string detail = {})
     {
         events_.push_back({number, std::move(detail)});
     }
--- a/packages/core/lib/control_state.cpp
+++ b/packages/core/lib/control_state.cpp
@@ -44,14 +44,15 @@
     // missing because none were received here, requests that waited at the
     // schedulers here have been queued elsewhere, and claims of keys made in
     // the meantime are not recorded.
-    out_.note(event_number::suspended_and_resumed,
-              std::to_string(
-                  std::chrono::duration_cast<std::chrono::milliseconds>(gap)
-                      .count()) +
-                  "ms");
+    out_.record_event(
+        event_number::suspended_and_resumed,
+        std::to_string(
+            std::chrono::duration_cast<std::chrono::milliseconds>(gap)
+                .count()) +
+            "ms");
     placement_.reset_suspicion_timers(now.now);
-    keys_.restart(now.wall);
-    out_.note(event_number::key_owner_reset);
+    keys_.reset_trusted_since(now.wall);
+    out_.record_event(event_number::key_owner_reset);
     for (auto& [id, scheduler] : schedulers_)
         scheduler->abandon();
 }
@@ -69,7 +70,7 @@
     const config_version before = version();
     topology_ = std::make_unique<topology>(std::move(updated));
     if (topology_->version < before)
-        out_.note(event_number::invariant_version_down);
+        out_.record_event(event_number::invariant_version_down);
     config_text_ = std::move(text);
     directory_.configure(*topology_);
     entry_.configure(*topology_);
@@ -106,10 +107,10 @@
     entry_.finish(now.now, result);
 }
 
-void control_state::progress(const request_id& id, std::uint32_t attempt,
-                             cost so_far)
+void control_state::report_progress(const request_id& id, std::uint32_t attempt,
+                                    cost so_far)
 {
-    entry_.progress(id, attempt, so_far);
+    entry_.report_progress(id, attempt, so_far);
 }
 
 void control_state::on_load(moment now, service_id service,
@@ -216,8 +217,8 @@
                 own = std::make_unique<shard_scheduler>(
                     shard.id, options_.scheduler,
                     options_.seed ^ options_.incarnation, now.now, out_);
-                out_.note(event_number::shard_acquired,
-                          rendezvous_subject(shard.id));
+                out_.record_event(event_number::shard_acquired,
+                                  rendezvous_subject(shard.id));
             }
             configure_scheduler(*own, shard);
         }
@@ -229,7 +230,7 @@
         // Entries enqueue their waiting requests again at the new owner and
         // report the running ones to it.
         lost->hand_over(now.now, owners_of(id.service));
-        out_.note(event_number::shard_lost, rendezvous_subject(id));
+        out_.record_event(event_number::shard_lost, rendezvous_subject(id));
     }
     set_scheduler_peers(now);
 }
@@ -269,7 +270,8 @@
     dispatch_message(now, from, content);
 }
 
-void control_state::receive_own(moment now, const peer_message& content)
+void control_state::handle_local_message(moment now,
+                                         const peer_message& content)
 {
     dispatch_message(now, options_.self, content);
 }
@@ -380,12 +382,12 @@
 {
     if (message.version < version().number)
         return;
-    out_.act(check_config{message.version, message.text});
+    out_.perform_action(check_config{message.version, message.text});
 }
 
 void control_state::on(moment, instance_id, const membership_document& message)
 {
-    out_.act(check_membership{message.text});
+    out_.perform_action(check_membership{message.text});
 }
 
 void control_state::on(moment now, instance_id from, const claim& message)
--- a/packages/core/lib/endpoint_pool.cpp
+++ b/packages/core/lib/endpoint_pool.cpp
@@ -53,7 +53,7 @@
 void endpoint_pool::emit_leaving_event(const state& endpoint, bool was_leaving)
 {
     if (leaving(endpoint) && !was_leaving)
-        out_.note(event_number::endpoint_leaving, endpoint.spec.name);
+        out_.record_event(event_number::endpoint_leaving, endpoint.spec.name);
 }
 
 void endpoint_pool::set_leaving(endpoint_id id, bool leaves)
@@ -133,7 +133,7 @@
         return;
     endpoint.ejected = true;
     endpoint.ejected_until = now + options_.eject_for;
-    out_.note(event_number::endpoint_ejected, endpoint.spec.name);
+    out_.record_event(event_number::endpoint_ejected, endpoint.spec.name);
 }
 
 void endpoint_pool::adapt_limit(time_point now, state& endpoint,
@@ -212,7 +212,7 @@
         endpoint.ejected = false;
         endpoint.failures = options_.eject_after_failures - 1;
         endpoint.limit = 1;
-        out_.note(event_number::endpoint_restored, endpoint.spec.name);
+        out_.record_event(event_number::endpoint_restored, endpoint.spec.name);
     }
 }
 
--- a/packages/core/lib/entry.cpp
+++ b/packages/core/lib/entry.cpp
@@ -163,7 +163,8 @@
     {
         // This process may have been suspended after the slot was granted, and
         // the lease may have expired meanwhile.
-        out_.note(event_number::grant_stale, to_string(message.request));
+        out_.record_event(event_number::grant_stale,
+                          to_string(message.request));
         out_.count_retry(retry_reason::grant_stale);
         confirm query;
         query.request = message.request;
@@ -206,7 +207,7 @@
     command.endpoint = message.endpoint;
     const duration since_echo = now.time_since_epoch() - duration(message.echo);
     command.valid_until = now + options_.lease - since_echo;
-    out_.act(command);
+    out_.perform_action(command);
 }
 
 void entry::on_message(time_point now, instance_id, const reject& message)
@@ -222,7 +223,8 @@
     refuse_open(now, found, message.reason, executed::no, message.retry_after);
 }
 
-void entry::progress(const request_id& id, std::uint32_t attempt, cost so_far)
+void entry::report_progress(const request_id& id, std::uint32_t attempt,
+                            cost so_far)
 {
     const auto found = open_.find(id);
     if (found == open_.end() || found->second.attempt != attempt)
@@ -235,8 +237,8 @@
     const auto found = open_.find(result.request);
     if (found == open_.end())
     {
-        out_.note(event_number::invariant_double_end,
-                  to_string(result.request));
+        out_.record_event(event_number::invariant_double_end,
+                          to_string(result.request));
         return;
     }
     open_request& request = found->second;
@@ -255,7 +257,8 @@
         estimator_.learn(request.spec.account, request.spec.service,
                          request.spec.hint, result.total);
         ++counters_.completed;
-        out_.note(event_number::request_completed, to_string(result.request));
+        out_.record_event(event_number::request_completed,
+                          to_string(result.request));
         close(now, found);
         return;
     case attempt_end::nothing_sent:
@@ -309,7 +312,8 @@
         return refuse_open(now, found, refusal_reason::retry_budget_spent, ran,
                            default_retry_after);
     out_.count_retry(reason);
-    out_.note(event_number::attempt_retried, to_string(request.spec.id));
+    out_.record_event(event_number::attempt_retried,
+                      to_string(request.spec.id));
     start_waiting(now, request);
 }
 
@@ -336,16 +340,16 @@
                       claim_release{request.spec.id, *request.spec.key});
     }
     ++counters_.refused.at(static_cast<std::size_t>(reason));
-    out_.note(event_number::request_refused,
-              to_string(request.spec.id) +
-                  " reason=" + std::string(to_string(reason)) +
-                  " executed=" + std::string(to_string(ran)));
+    out_.record_event(event_number::request_refused,
+                      to_string(request.spec.id) +
+                          " reason=" + std::string(to_string(reason)) +
+                          " executed=" + std::string(to_string(ran)));
     refuse answer;
     answer.request = request.spec.id;
     answer.reason = reason;
     answer.ran = ran;
     answer.retry_after = retry_after;
-    out_.act(answer);
+    out_.perform_action(answer);
     close(now, found);
 }
 
--- a/packages/core/lib/entry_claims.cpp
+++ b/packages/core/lib/entry_claims.cpp
@@ -34,7 +34,8 @@
         start_waiting(now, request);
         return;
     case claim_verdict::duplicate:
-        out_.note(event_number::key_duplicate, to_string(message.request));
+        out_.record_event(event_number::key_duplicate,
+                          to_string(message.request));
         refuse_open(now, found, refusal_reason::duplicate_key,
                     executed::unknown, default_retry_after);
         return;
--- a/packages/core/lib/key_owner.cpp
+++ b/packages/core/lib/key_owner.cpp
@@ -6,7 +6,7 @@
 namespace sycamorelock::core
 {
 
-bool time_of_key(const idempotency_key& key, wall_time& created)
+bool key_creation_time(const idempotency_key& key, wall_time& created)
 {
     static constexpr std::uint8_t version_seven = 0x70;
     if ((key.bytes[6] & 0xf0U) != version_seven)
@@ -34,7 +34,7 @@
         return same ? claim_verdict::granted : claim_verdict::duplicate;
     }
     wall_time created{0};
-    if (!time_of_key(message.key, created))
+    if (!key_creation_time(message.key, created))
         return claim_verdict::outside_memory;
     // A key that is missing from this table may have been claimed at an earlier
     // owner or before this process started. Only a key created after every
--- a/packages/core/lib/placement.cpp
+++ b/packages/core/lib/placement.cpp
@@ -60,8 +60,8 @@
         peers_[id].last_alive_at = now;
     }
     ++generation_;
-    out_.note(event_number::membership_installed,
-              "version=" + std::to_string(list_.version));
+    out_.record_event(event_number::membership_installed,
+                      "version=" + std::to_string(list_.version));
     return true;
 }
 
@@ -72,7 +72,8 @@
         return;
     state.suspected = false;
     ++generation_;
-    out_.note(event_number::instance_returned, list_.members.at(id).name);
+    out_.record_event(event_number::instance_returned,
+                      list_.members.at(id).name);
 }
 
 void placement::record_message_from(time_point now, instance_id sender,
@@ -225,7 +226,8 @@
             continue;
         state.suspected = true;
         ++generation_;
-        out_.note(event_number::instance_suspected, list_.members.at(id).name);
+        out_.record_event(event_number::instance_suspected,
+                          list_.members.at(id).name);
     }
 }
 
--- a/packages/core/lib/shard_scheduler.cpp
+++ b/packages/core/lib/shard_scheduler.cpp
@@ -233,7 +233,7 @@
     const virtual_time before = queue_.system_time();
     queue_.charge(account, amount);
     if (queue_.system_time() < before)
-        out_.note(event_number::invariant_system_time_back);
+        out_.record_event(event_number::invariant_system_time_back);
     exchange_.add_own(account, amount);
 }
 
@@ -270,7 +270,8 @@
     const waiting_request next = *queue_.remove(queue_.front()->id);
     if (leases_.contains(next.id))
     {
-        out_.note(event_number::invariant_double_grant, to_string(next.id));
+        out_.record_event(event_number::invariant_double_grant,
+                          to_string(next.id));
         return;
     }
     pool_.take(endpoint, next.prefix);
@@ -304,7 +305,7 @@
         const auto held = it++;
         if (held->second.expires > now)
             continue;
-        out_.note(event_number::lease_expired, to_string(held->first));
+        out_.record_event(event_number::lease_expired, to_string(held->first));
         end_lease(now, held, attempt_outcome::caller_left, duration(0));
     }
 }
@@ -376,7 +377,7 @@
     // because reports of entries, not slots, bound the number of leases. Only
     // an overload larger than all usable slots violates the invariant.
     if (pool_.overload() > pool_.usable_slots() && pool_.any_usable())
-        out_.note(event_number::invariant_slots_exceeded);
+        out_.record_event(event_number::invariant_slots_exceeded);
     serve(now);
     if (now >= next_advert_)
         advertise(now, true);
--- a/packages/core/unittests/fake_fleet.cpp
+++ b/packages/core/unittests/fake_fleet.cpp
@@ -365,7 +365,7 @@
 idempotency_key fake_fleet::make_key(std::size_t account_index,
                                      std::uint64_t number)
 {
-    return key_made(account(account_index), current_moment().wall, number);
+    return make_key_at(account(account_index), current_moment().wall, number);
 }
 
 int fake_fleet::events(event_number number) const
--- a/packages/core/unittests/fake_node.hpp
+++ b/packages/core/unittests/fake_node.hpp
@@ -16,8 +16,11 @@
         {
             fleet->on_send(index, to, std::move(messages));
         }
-        void act(const action& command) { fleet->on_action(index, command); }
-        void note(const event& occurrence)
+        void perform_action(const action& command)
+        {
+            fleet->on_action(index, command);
+        }
+        void record_event(const event& occurrence)
         {
             ++fleet->events_[occurrence.number];
         }
--- a/packages/core/unittests/key_owner_test.cpp
+++ b/packages/core/unittests/key_owner_test.cpp
@@ -14,9 +14,9 @@
 
 constexpr wall_time start(1'700'000'000'000);
 
-idempotency_key key_made(wall_time at)
+idempotency_key make_key_at(wall_time at)
 {
-    return testing::key_made(account_id::of("north"), at);
+    return testing::make_key_at(account_id::of("north"), at);
 }
 
 claim make_claim(const idempotency_key& key, std::uint64_t number)
@@ -29,7 +29,7 @@
 
 claim make_claim_at(wall_time at, std::uint64_t number)
 {
-    return make_claim(key_made(at), number);
+    return make_claim(make_key_at(at), number);
 }
 
 } // namespace
@@ -38,7 +38,7 @@
 {
     key_owner owner({}, start);
     const wall_time later = start + std::chrono::minutes(1);
-    const auto key = key_made(later);
+    const auto key = make_key_at(later);
     cr_assert(owner.claim_key(later, start, make_claim(key, 1)) == granted);
     cr_assert(owner.claim_key(later, start, make_claim(key, 1)) == granted);
     cr_assert(owner.claim_key(later, start, make_claim(key, 2)) == duplicate);
@@ -48,9 +48,9 @@
 {
     const wall_time restarted = start + std::chrono::minutes(10);
     key_owner owner({}, restarted);
-    const auto before = key_made(restarted - std::chrono::seconds(1));
-    const auto within_lag = key_made(restarted + std::chrono::seconds(6));
-    const auto after = key_made(restarted + std::chrono::seconds(8));
+    const auto before = make_key_at(restarted - std::chrono::seconds(1));
+    const auto within_lag = make_key_at(restarted + std::chrono::seconds(6));
+    const auto after = make_key_at(restarted + std::chrono::seconds(8));
     const wall_time now = restarted + std::chrono::seconds(9);
     cr_assert(owner.claim_key(now, start, make_claim(before, 1)) ==
               outside_memory);
@@ -89,7 +89,7 @@
     key_owner owner({}, start);
     const wall_time now = start + std::chrono::hours(1);
     // The clock that created the key is ahead by almost the tolerated skew.
-    const auto key = key_made(now + std::chrono::milliseconds(1900));
+    const auto key = make_key_at(now + std::chrono::milliseconds(1900));
     cr_assert(owner.claim_key(now, start, make_claim(key, 1)) == granted);
     const wall_time last =
         now + std::chrono::minutes(15) + std::chrono::milliseconds(1800);
@@ -103,7 +103,7 @@
 {
     key_owner owner({}, start);
     const wall_time now = start + std::chrono::minutes(1);
-    const auto key = key_made(now);
+    const auto key = make_key_at(now);
     owner.claim_key(now, start, make_claim(key, 1));
     owner.release({make_claim(key, 2).request, key});
     cr_assert(owner.claim_key(now, start, make_claim(key, 3)) == duplicate);
@@ -119,7 +119,7 @@
     const wall_time now = start + std::chrono::minutes(1);
     for (int i = 0; i < 2; ++i)
     {
-        const auto key = key_made(now + wall_time(i));
+        const auto key = make_key_at(now + wall_time(i));
         cr_assert(owner.claim_key(now, start, make_claim(key, 1)) == granted);
     }
     cr_assert(
--- a/packages/core/unittests/test_keys.hpp
+++ b/packages/core/unittests/test_keys.hpp
@@ -8,8 +8,8 @@
 
 /// Returns a UUIDv7 with the given creation time. `number` distinguishes keys
 /// with the same creation time.
-inline idempotency_key key_made(account_id account, wall_time at,
-                                std::uint64_t number = 0)
+inline idempotency_key make_key_at(account_id account, wall_time at,
+                                   std::uint64_t number = 0)
 {
     idempotency_key key;
     key.account = account;
