--- a/packages/adapters/lib/control_plane.cpp
+++ b/packages/adapters/lib/control_plane.cpp
@@ -151,20 +151,21 @@
 void control_plane::offer_config(const document& offered,
                                  const std::string& source)
 {
-    const core::topology* current = state().tree();
+    const core::topology* current = state().fleet_topology();
     if (current != nullptr && offered.version < current->version.number)
         return;
     try
     {
-        core::topology tree =
+        core::topology fleet_topology =
             settings::read_tree(offered.text, source, offered.version);
-        const auto routes = std::make_shared<const routing_table>(tree);
+        const auto routes =
+            std::make_shared<const routing_table>(fleet_topology);
         bool installed = false;
         const core::moment at = current_moment();
         node_.handle(at,
                      [&](auto& s) {
-                         installed = s.install_config(at, std::move(tree),
-                                                      offered.text);
+                         installed = s.install_config(
+                             at, std::move(fleet_topology), offered.text);
                      });
         if (!installed)
             return;
@@ -197,7 +198,7 @@
                      [&](auto& s)
                      {
                          if (s.install_membership(at, std::move(list), text))
-                             links_->set_members(s.where().list());
+                             links_->set_members(s.current_placement().list());
                      });
         update_ready();
     }
@@ -322,10 +323,10 @@
     node_.handle(at,
                  [&](auto& s)
                  {
-                     s.connections_lost(at, links_->lost());
+                     s.set_broken_connections(at, links_->lost());
                      s.tick(at);
                  });
-    if (state().where().list().members.empty())
+    if (state().current_placement().list().members.empty())
         ask_seeds();
     update_ready();
     cpu_seconds_ = thread_cpu_seconds();
@@ -346,7 +347,8 @@
         return;
     ready_ = true;
     log_.write(process_event::ready,
-               {{"version", std::to_string(state().tree()->version.number)}});
+               {{"version",
+                 std::to_string(state().fleet_topology()->version.number)}});
 }
 
 } // namespace sycamorelock::adapters
--- a/packages/adapters/lib/operator_server.cpp
+++ b/packages/adapters/lib/operator_server.cpp
@@ -17,7 +17,7 @@
 std::string where_to_ask(const core::control_state& state,
                          const core::request_id& id)
 {
-    const auto& members = state.where().list().members;
+    const auto& members = state.current_placement().list().members;
     const auto entry = members.find(id.entry);
     if (entry == members.end())
         return "no listed instance accepted this request\n";
--- a/packages/adapters/lib/report.cpp
+++ b/packages/adapters/lib/report.cpp
@@ -57,10 +57,11 @@
 
 std::string service_name(const core::control_state& state, core::service_id id)
 {
-    if (state.tree() == nullptr)
+    if (state.fleet_topology() == nullptr)
         return {};
-    const auto found = state.tree()->services.find(id);
-    return found == state.tree()->services.end() ? "" : found->second.name;
+    const auto found = state.fleet_topology()->services.find(id);
+    return found == state.fleet_topology()->services.end() ? ""
+                                                           : found->second.name;
 }
 
 std::string shard_labels(const core::control_state& state,
@@ -95,9 +96,11 @@
     const peer_metrics& peers = control.peers();
     const traffic_metrics& traffic = control.traffic();
     single(out, "config_version", "gauge", "Configuration in force.",
-           state.tree() != nullptr ? number(state.tree()->version.number) : 0);
+           state.fleet_topology() != nullptr
+               ? number(state.fleet_topology()->version.number)
+               : 0);
     single(out, "membership_version", "gauge", "Member list in force.",
-           number(state.where().list().version));
+           number(state.current_placement().list().version));
     single(out, "claims", "gauge", "Idempotency keys remembered.",
            number(state.claims()));
     single(out, "ready", "gauge", "1 if callers are served.",
@@ -178,17 +181,18 @@
     root["domain"] = control.settings().domain;
     root["ready"] = control.ready() && !control.leaving();
     root["leaving"] = control.leaving();
-    root["config_version"] =
-        state.tree() != nullptr ? state.tree()->version.number : 0;
-    root["membership_version"] = state.where().list().version;
+    root["config_version"] = state.fleet_topology() != nullptr
+                                 ? state.fleet_topology()->version.number
+                                 : 0;
+    root["membership_version"] = state.current_placement().list().version;
     root["open_requests"] = state.requests().open_requests();
-    root["config_reader"] = state.where().is_config_reader();
+    root["config_reader"] = state.current_placement().is_config_reader();
     json::array members;
-    for (const auto& [id, member] : state.where().list().members)
+    for (const auto& [id, member] : state.current_placement().list().members)
     {
         json::object item;
         item["name"] = member.name;
-        item["alive"] = state.where().alive(id);
+        item["alive"] = state.current_placement().alive(id);
         item["leaving"] = member.leaving;
         members.push_back(std::move(item));
     }
@@ -224,13 +228,14 @@
     json::object root;
     root["request"] = to_string(record->id);
     root["service"] = service_name(state, record->service);
-    if (state.tree() != nullptr)
+    if (state.fleet_topology() != nullptr)
     {
-        const auto& accounts = state.tree()->accounts;
+        const auto& accounts = state.fleet_topology()->accounts;
         const auto account = accounts.find(record->account);
         root["account"] = account == accounts.end() ? "" : account->second.name;
-        const auto service = state.tree()->services.find(record->service);
-        if (service != state.tree()->services.end())
+        const auto service =
+            state.fleet_topology()->services.find(record->service);
+        if (service != state.fleet_topology()->services.end())
         {
             for (const auto& endpoint : service->second.endpoints)
             {
--- a/packages/adapters/lib/watchers.cpp
+++ b/packages/adapters/lib/watchers.cpp
@@ -76,8 +76,10 @@
 {
     const core::control_state& state = control.state();
     if (what == watched::members)
-        return state.where().list().version;
-    return state.tree() != nullptr ? state.tree()->version.number : 0;
+        return state.current_placement().list().version;
+    return state.fleet_topology() != nullptr
+               ? state.fleet_topology()->version.number
+               : 0;
 }
 
 asio::awaitable<void> watch(control_plane& control, watched what)
@@ -88,7 +90,8 @@
     bool reachable = true;
     for (;;)
     {
-        const bool reads = control.state().where().is_config_reader();
+        const bool reads =
+            control.state().current_placement().is_config_reader();
         if (!reads)
         {
             co_await pause(control, idle_pause);
--- a/packages/core/include/sycamorelock/core/control_state.hpp
+++ b/packages/core/include/sycamorelock/core/control_state.hpp
@@ -49,7 +49,7 @@
 
     /// Called before each input. Detects that the process was suspended from
     /// the time since the previous input.
-    void begin(moment now);
+    void begin_input(moment now);
 
     /// Handles an authenticated message from another instance.
     void receive(moment now, instance_id from, std::uint32_t incarnation,
@@ -75,9 +75,9 @@
     void on_load(moment now, service_id service, endpoint_id endpoint,
                  const load_report& report);
     /// Replaces the set of instances whose connections are currently broken.
-    void connections_lost(moment now, const std::set<instance_id>& lost)
+    void set_broken_connections(moment now, const std::set<instance_id>& lost)
     {
-        placement_.connections_lost(now.now, lost);
+        placement_.set_broken_connections(now.now, lost);
     }
     void tick(moment now);
     /// Starts a graceful shutdown: no new requests are taken, the instance is
@@ -89,8 +89,14 @@
     [[nodiscard]] outbox& out() { return out_; }
     [[nodiscard]] instance_id self() const { return options_.self; }
     /// The configuration in force, or null before the first one.
-    [[nodiscard]] const topology* tree() const { return topology_.get(); }
-    [[nodiscard]] const placement& where() const { return placement_; }
+    [[nodiscard]] const topology* fleet_topology() const
+    {
+        return topology_.get();
+    }
+    [[nodiscard]] const placement& current_placement() const
+    {
+        return placement_;
+    }
     [[nodiscard]] const entry& requests() const { return entry_; }
     [[nodiscard]] const shard_directory& directory() const
     {
--- a/packages/core/include/sycamorelock/core/node.hpp
+++ b/packages/core/include/sycamorelock/core/node.hpp
@@ -35,7 +35,7 @@
     /// Calls `input` with the control state and passes the results to the sink.
     template <class Input> void handle(moment now, Input&& input)
     {
-        state_.begin(now);
+        state_.begin_input(now);
         std::forward<Input>(input)(state_);
         drain(now);
     }
--- a/packages/core/include/sycamorelock/core/placement.hpp
+++ b/packages/core/include/sycamorelock/core/placement.hpp
@@ -66,7 +66,8 @@
     void record_message_from(time_point now, instance_id sender,
                              std::uint32_t incarnation);
     /// Replaces the set of instances whose connections are currently broken.
-    void connections_lost(time_point now, const std::set<instance_id>& lost);
+    void set_broken_connections(time_point now,
+                                const std::set<instance_id>& lost);
     void tick(time_point now, const config_version& config);
     /// Restarts the timeout of every instance. Called after this process was
     /// suspended, when missing heartbeats do not show that their senders
--- a/packages/core/lib/control_state.cpp
+++ b/packages/core/lib/control_state.cpp
@@ -34,7 +34,7 @@
     options_.scheduler = options_for_mode(options.scheduler, options.mode);
 }
 
-void control_state::begin(moment now)
+void control_state::begin_input(moment now)
 {
     const duration gap = now.now - last_input_;
     last_input_ = now.now;
--- a/packages/core/lib/placement.cpp
+++ b/packages/core/lib/placement.cpp
@@ -96,8 +96,8 @@
     mark_alive(now, sender, state);
 }
 
-void placement::connections_lost(time_point now,
-                                 const std::set<instance_id>& lost)
+void placement::set_broken_connections(time_point now,
+                                       const std::set<instance_id>& lost)
 {
     for (auto& [id, state] : peers_)
     {
--- a/packages/core/unittests/placement_test.cpp
+++ b/packages/core/unittests/placement_test.cpp
@@ -53,7 +53,8 @@
             {
                 if (stopped_[i])
                     continue;
-                placements_[i]->connections_lost(now_, broken_connections_);
+                placements_[i]->set_broken_connections(now_,
+                                                       broken_connections_);
                 placements_[i]->tick(now_, {1, 1});
                 deliver_messages(i);
             }
