--- a/packages/core/include/sycamorelock/core/fair_queue.hpp
+++ b/packages/core/include/sycamorelock/core/fair_queue.hpp
@@ -104,10 +104,10 @@
 
     /// Adds service that another scheduler granted to the account. Does not
     /// advance the system time.
-    void import(account_id account, cost amount);
+    void charge_remote(account_id account, cost amount);
     /// Raises the backlogged accounts that lag more than `max_lag` behind the
     /// one that is furthest ahead, and returns them.
-    std::vector<account_id> limit_debt();
+    std::vector<account_id> limit_lag();
 
     /// Raises the system time to the virtual time that other schedulers of the
     /// service are serving, so that a returning account gains no advantage at a
--- a/packages/core/include/sycamorelock/core/service_exchange.hpp
+++ b/packages/core/include/sycamorelock/core/service_exchange.hpp
@@ -101,7 +101,7 @@
     void merge_retired(const snapshot& message);
     void add_peer_service(account_id account, std::int64_t amount);
     void apply_total(peer_totals& known, const service_report::item& item);
-    void limit_debt();
+    void limit_lag();
     account_totals apply_included(time_point now, const snapshot& message);
     [[nodiscard]] virtual_time to_virtual_time(account_id account,
                                                std::int64_t amount) const;
--- a/packages/core/include/sycamorelock/core/shard_directory.hpp
+++ b/packages/core/include/sycamorelock/core/shard_directory.hpp
@@ -34,8 +34,8 @@
     /// The shard at which a request of a service is queued, or null if the
     /// service has none. Shards in the local failure domain are preferred;
     /// `request_number` spreads requests over equal candidates.
-    [[nodiscard]] const shard_spec* home(service_id service,
-                                         std::uint64_t request_number) const;
+    [[nodiscard]] const shard_spec*
+    home_shard(service_id service, std::uint64_t request_number) const;
     /// The instance that schedules a shard, if there is one.
     [[nodiscard]] std::optional<instance_id> owner(const shard_id& shard);
     /// Shards of a service; null if it is unknown.
--- a/packages/core/include/sycamorelock/core/shard_scheduler.hpp
+++ b/packages/core/include/sycamorelock/core/shard_scheduler.hpp
@@ -71,7 +71,7 @@
 
     /// Drops all queued requests. Used after the instance was suspended, when
     /// entries have queued them elsewhere.
-    void abandon();
+    void drop_queued_requests();
     /// Reports the service granted here and forwards the requests that other
     /// shards moved here, before the shard passes to another owner. Entries
     /// resend their own requests to the next owner.
--- a/packages/core/lib/control_state.cpp
+++ b/packages/core/lib/control_state.cpp
@@ -54,7 +54,7 @@
     keys_.reset_trusted_since(now.wall);
     out_.record_event(event_number::key_owner_reset);
     for (auto& [id, scheduler] : schedulers_)
-        scheduler->abandon();
+        scheduler->drop_queued_requests();
 }
 
 config_version control_state::version() const
--- a/packages/core/lib/entry.cpp
+++ b/packages/core/lib/entry.cpp
@@ -111,20 +111,20 @@
     request.next_send = now + request.enqueue_interval;
     request.enqueue_interval =
         std::min(request.enqueue_interval * 2, options_.max_enqueue_interval);
-    const shard_spec* home =
-        directory_.home(request.spec.service, request.spec.id.number);
-    if (home == nullptr)
+    const shard_spec* home_shard =
+        directory_.home_shard(request.spec.service, request.spec.id.number);
+    if (home_shard == nullptr)
         return;
-    const auto owner = directory_.owner(home->id);
+    const auto owner = directory_.owner(home_shard->id);
     if (!owner)
         return;
-    request.shard = home->id;
+    request.shard = home_shard->id;
     request.scheduler = *owner;
     request.scheduler_incarnation = placement_.incarnation_of(*owner);
     enqueue message;
     message.request = request.spec.id;
     message.attempt = request.attempt;
-    message.shard = home->id;
+    message.shard = home_shard->id;
     message.account = request.spec.account;
     message.urgency = request.spec.urgency;
     message.estimate = request.estimate;
--- a/packages/core/lib/entry_timers.cpp
+++ b/packages/core/lib/entry_timers.cpp
@@ -77,11 +77,12 @@
 void entry::handle_owner_change(time_point now, open_request& request)
 {
     const bool is_waiting = request.state == phase::waiting;
-    const shard_spec* home =
-        is_waiting
-            ? directory_.home(request.spec.service, request.spec.id.number)
-            : nullptr;
-    const shard_id shard = home != nullptr ? home->id : request.shard;
+    const shard_spec* home_shard =
+        is_waiting ? directory_.home_shard(request.spec.service,
+                                           request.spec.id.number)
+                   : nullptr;
+    const shard_id shard =
+        home_shard != nullptr ? home_shard->id : request.shard;
     const auto owner = directory_.owner(shard);
     if (!owner)
         return;
--- a/packages/core/lib/fair_queue.cpp
+++ b/packages/core/lib/fair_queue.cpp
@@ -169,7 +169,7 @@
     reorder(account, state);
 }
 
-void fair_queue::import(account_id account, cost amount)
+void fair_queue::charge_remote(account_id account, cost amount)
 {
     account_state& state = state_of(account);
     const double shift = static_cast<double>(amount.value()) / state.weight;
@@ -177,7 +177,7 @@
     reorder(account, state);
 }
 
-std::vector<account_id> fair_queue::limit_debt()
+std::vector<account_id> fair_queue::limit_lag()
 {
     virtual_time highest = system_time_;
     for (const ranked_account& each : service_order_)
--- a/packages/core/lib/service_exchange.cpp
+++ b/packages/core/lib/service_exchange.cpp
@@ -105,7 +105,7 @@
 void service_exchange::add_peer_service(account_id account, std::int64_t amount)
 {
     counted_[account] += amount;
-    queue_.import(account, cost(amount));
+    queue_.charge_remote(account, cost(amount));
 }
 
 service_exchange::peer_totals&
@@ -162,19 +162,19 @@
     peer_totals& known = find_or_add_totals(now, key);
     for (const service_report::item& item : message.items)
         apply_total(known, item);
-    limit_debt();
+    limit_lag();
     const auto owner = owners_.find(message.shard);
     if (owner != owners_.end() && owner->second == from)
         update_waiting(now, message);
 }
 
-void service_exchange::limit_debt()
+void service_exchange::limit_lag()
 {
     // Without a snapshot the raised virtual times are unknown, and the totals
     // of schedulers that started earlier look like debt.
     if (!has_snapshot_)
         return;
-    const auto lifted = queue_.limit_debt();
+    const auto lifted = queue_.limit_lag();
     lifted_.insert(lifted.begin(), lifted.end());
 }
 
--- a/packages/core/lib/shard_directory.cpp
+++ b/packages/core/lib/shard_directory.cpp
@@ -31,8 +31,9 @@
     }
 }
 
-const shard_spec* shard_directory::home(service_id service,
-                                        std::uint64_t request_number) const
+const shard_spec*
+shard_directory::home_shard(service_id service,
+                            std::uint64_t request_number) const
 {
     const auto* all = shards(service);
     if (all == nullptr || all->empty())
--- a/packages/core/lib/shard_scheduler.cpp
+++ b/packages/core/lib/shard_scheduler.cpp
@@ -384,7 +384,7 @@
     exchange_.tick(now);
 }
 
-void shard_scheduler::abandon()
+void shard_scheduler::drop_queued_requests()
 {
     queue_.clear_requests();
 }
--- a/packages/core/unittests/fair_queue_test.cpp
+++ b/packages/core/unittests/fair_queue_test.cpp
@@ -103,8 +103,8 @@
     fair_queue queue(options);
     for (std::uint64_t i = 0; i < 100; ++i)
         queue.push(make_request(i % 2 == 0 ? large : small, i));
-    queue.import(large, cost(1000000));
-    queue.limit_debt();
+    queue.charge_remote(large, cost(1000000));
+    queue.limit_lag();
     int until_large = 0;
     while (serve_one(queue) != large)
         ++until_large;
