--- a/packages/core/include/sycamorelock/core/endpoint_pool.hpp
+++ b/packages/core/include/sycamorelock/core/endpoint_pool.hpp
@@ -54,11 +54,11 @@
     [[nodiscard]] std::optional<endpoint_id> pick(std::uint32_t prefix,
                                                   endpoint_id tried = {}) const;
     /// Occupies a slot of the endpoint and records the prompt prefix, if any.
-    void take(endpoint_id id, std::uint32_t prefix);
+    void acquire_slot(endpoint_id id, std::uint32_t prefix);
     /// Releases a slot. Failures count towards ejection, and a completed
     /// request adapts the endpoint's limit to its mean delay per token.
-    void give_back(time_point now, endpoint_id id, attempt_outcome outcome,
-                   duration token_delay);
+    void release_slot(time_point now, endpoint_id id, attempt_outcome outcome,
+                      duration token_delay);
     void on_load(endpoint_id id, const load_report& report);
     /// Restores endpoints whose ejection has expired.
     void tick(time_point now);
@@ -68,9 +68,9 @@
     /// Sum of the limits of the endpoints that accept requests.
     [[nodiscard]] std::uint32_t usable_slots() const;
     [[nodiscard]] bool contains(endpoint_id id) const;
-    [[nodiscard]] bool any_usable() const { return usable_slots() > 0; }
+    [[nodiscard]] bool has_usable_slots() const { return usable_slots() > 0; }
     /// Number of slots in use above the configured numbers, over all endpoints.
-    [[nodiscard]] std::uint32_t overload() const;
+    [[nodiscard]] std::uint32_t excess_slots() const;
 
   private:
     struct state
--- a/packages/core/include/sycamorelock/core/service_exchange.hpp
+++ b/packages/core/include/sycamorelock/core/service_exchange.hpp
@@ -55,14 +55,13 @@
 
     /// Adds service provided by this scheduler, which the queue has already
     /// charged.
-    void add_own(account_id account, cost amount);
+    void add_local_service(account_id account, cost amount);
     /// Marks the account's virtual time as raised without service, so that the
     /// next report includes the new value.
-    void note_lift(account_id account) { lifted_.insert(account); }
+    void mark_lifted(account_id account) { lifted_.insert(account); }
     /// Returns true if another scheduler has recently reported waiting requests
     /// of the account.
-    [[nodiscard]] bool waits_elsewhere(time_point now,
-                                       account_id account) const;
+    [[nodiscard]] bool waits_at_peer(time_point now, account_id account) const;
 
     /// Returns true after a start or a change of owners until the resulting
     /// snapshot requests have been sent. Until then service provided by peers
--- a/packages/core/lib/endpoint_pool.cpp
+++ b/packages/core/lib/endpoint_pool.cpp
@@ -113,7 +113,7 @@
     return best->spec.id;
 }
 
-void endpoint_pool::take(endpoint_id id, std::uint32_t prefix)
+void endpoint_pool::acquire_slot(endpoint_id id, std::uint32_t prefix)
 {
     const auto found = endpoints_.find(id);
     if (found == endpoints_.end())
@@ -165,8 +165,8 @@
     endpoint.limit = std::max(1.0, endpoint.limit * options_.shrink_factor);
 }
 
-void endpoint_pool::give_back(time_point now, endpoint_id id,
-                              attempt_outcome outcome, duration token_delay)
+void endpoint_pool::release_slot(time_point now, endpoint_id id,
+                                 attempt_outcome outcome, duration token_delay)
 {
     const auto found = endpoints_.find(id);
     if (found == endpoints_.end())
@@ -249,7 +249,7 @@
     return endpoints_.contains(id);
 }
 
-std::uint32_t endpoint_pool::overload() const
+std::uint32_t endpoint_pool::excess_slots() const
 {
     std::uint32_t total = 0;
     for (const auto& [id, endpoint] : endpoints_)
--- a/packages/core/lib/service_exchange.cpp
+++ b/packages/core/lib/service_exchange.cpp
@@ -71,14 +71,14 @@
     return result;
 }
 
-void service_exchange::add_own(account_id account, cost amount)
+void service_exchange::add_local_service(account_id account, cost amount)
 {
     totals_[account] += amount.value();
     counted_[account] += amount.value();
     unreported_[account] += amount.value();
 }
 
-bool service_exchange::waits_elsewhere(time_point now, account_id account) const
+bool service_exchange::waits_at_peer(time_point now, account_id account) const
 {
     for (const auto& [shard, waiting] : waiting_at_)
     {
--- a/packages/core/lib/shard_moves.cpp
+++ b/packages/core/lib/shard_moves.cpp
@@ -104,14 +104,14 @@
     const bool backlogged_elsewhere =
         options_.exchange.enabled &&
         (request.moved || request.requeued || moved_cost_.contains(account) ||
-         exchange_.waits_elsewhere(now, account));
+         exchange_.waits_at_peer(now, account));
     const virtual_time before = queue_.at(account);
     queue_.push(request, backlogged_elsewhere
                              ? fair_queue::prior_state::backlogged_elsewhere
                              : fair_queue::prior_state::idle);
     const virtual_time after = queue_.at(account);
     if (after > before)
-        exchange_.note_lift(account);
+        exchange_.mark_lifted(account);
 }
 
 void shard_scheduler::on_message(time_point now, instance_id from,
--- a/packages/core/lib/shard_scheduler.cpp
+++ b/packages/core/lib/shard_scheduler.cpp
@@ -85,7 +85,7 @@
                                            const enqueue& message)
 {
     const duration wait = predicted_wait(message.account);
-    if (!pool_.any_usable() && peers_.empty())
+    if (!pool_.has_usable_slots() && peers_.empty())
     {
         // Without usable slots there is no service rate to predict a wait from.
         send_reject(from, message, refusal_reason::no_endpoint,
@@ -211,7 +211,7 @@
     held.charged = std::max(message.so_far, message.estimate);
     held.expires = now + options_.lease_duration;
     leases_.emplace(message.request, held);
-    pool_.take(message.endpoint, 0);
+    pool_.acquire_slot(message.endpoint, 0);
 }
 
 void shard_scheduler::on_message(time_point now, instance_id,
@@ -234,7 +234,7 @@
     queue_.charge(account, amount);
     if (queue_.system_time() < before)
         out_.record_event(event_number::invariant_system_time_back);
-    exchange_.add_own(account, amount);
+    exchange_.add_local_service(account, amount);
 }
 
 void shard_scheduler::end_lease(time_point now,
@@ -246,7 +246,7 @@
         const cost refund = cost(0) - held->second.charged;
         charge_account(held->second.account, refund);
     }
-    pool_.give_back(now, held->second.endpoint, outcome, token_delay);
+    pool_.release_slot(now, held->second.endpoint, outcome, token_delay);
     leases_.erase(held);
 }
 
@@ -274,7 +274,7 @@
                           to_string(next.id));
         return;
     }
-    pool_.take(endpoint, next.prefix);
+    pool_.acquire_slot(endpoint, next.prefix);
     lease held;
     held.attempt = next.attempt;
     held.entry = next.id.entry;
@@ -376,7 +376,7 @@
     // Requests adopted after two owners coexisted may exceed the slot limits,
     // because reports of entries, not slots, bound the number of leases. Only
     // an overload larger than all usable slots violates the invariant.
-    if (pool_.overload() > pool_.usable_slots() && pool_.any_usable())
+    if (pool_.excess_slots() > pool_.usable_slots() && pool_.has_usable_slots())
         out_.record_event(event_number::invariant_slots_exceeded);
     serve(now);
     if (now >= next_advert_)
--- a/packages/core/unittests/endpoint_pool_test.cpp
+++ b/packages/core/unittests/endpoint_pool_test.cpp
@@ -33,8 +33,8 @@
     void run_request(endpoint_id id, attempt_outcome outcome,
                      time_point at = start, duration delay = duration(0))
     {
-        pool.take(id, 0);
-        pool.give_back(at, id, outcome, delay);
+        pool.acquire_slot(id, 0);
+        pool.release_slot(at, id, outcome, delay);
     }
 };
 
@@ -43,7 +43,7 @@
 Test(endpoint_pool, the_least_loaded_endpoint_is_picked)
 {
     fixture f;
-    f.pool.take(f.first, 0);
+    f.pool.acquire_slot(f.first, 0);
     cr_assert(f.pool.pick(0) == f.second);
     cr_assert_eq(f.pool.free_slots(), 7U);
 }
@@ -52,10 +52,10 @@
      a_prefix_prefers_the_endpoint_that_served_it_while_a_slot_is_free)
 {
     fixture f;
-    f.pool.take(f.first, 42);
+    f.pool.acquire_slot(f.first, 42);
     cr_assert(f.pool.pick(42) == f.first);
     for (int i = 0; i < 3; ++i)
-        f.pool.take(f.first, 42);
+        f.pool.acquire_slot(f.first, 42);
     cr_assert(f.pool.pick(42) == f.second);
 }
 
@@ -64,10 +64,10 @@
     fixture f;
     cr_assert(f.pool.pick(0) == f.first);
     cr_assert(f.pool.pick(0, f.first) == f.second);
-    f.pool.take(f.first, 42);
+    f.pool.acquire_slot(f.first, 42);
     cr_assert(f.pool.pick(42, f.first) == f.second);
     for (int i = 0; i < 4; ++i)
-        f.pool.take(f.second, 0);
+        f.pool.acquire_slot(f.second, 0);
     cr_assert(f.pool.pick(0, f.first) == f.first);
 }
 
--- a/packages/core/unittests/fairness_test.cpp
+++ b/packages/core/unittests/fairness_test.cpp
@@ -48,7 +48,7 @@
                 auto& trace = traces[std::to_string(each.account)];
                 trace.weight = each.weight;
                 trace.service.push_back(
-                    static_cast<double>(fleet_.service_of(each.account)));
+                    static_cast<double>(fleet_.ended_cost_of(each.account)));
                 trace.backlogged.push_back(true);
             }
         }
@@ -64,7 +64,7 @@
                       {
                           const outcome& result = entry.second;
                           return result.completed + result.refused > 0 ||
-                                 result.entry_died;
+                                 result.entry_killed;
                       });
         for (const auto& [id, result] : fleet_.outcomes())
             ++open[result.spec.account];
@@ -85,7 +85,7 @@
     std::vector<account_load> loads_;
 };
 
-fake_fleet::plan uneven_plan(scheduling_mode mode)
+fake_fleet::fleet_options uneven_plan(scheduling_mode mode)
 {
     return {.endpoints_per_domain = 4,
             .slots = 4,
@@ -200,9 +200,10 @@
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
-        fake_fleet::plan plan = uneven_plan(scheduling_mode::full);
-        plan.seed = seed;
-        fake_fleet fleet(plan);
+        fake_fleet::fleet_options fleet_options =
+            uneven_plan(scheduling_mode::full);
+        fleet_options.seed = seed;
+        fake_fleet fleet(fleet_options);
         fleet.advance(std::chrono::seconds(5));
         closed_loop work(fleet, uneven_loads());
         work.run(std::chrono::seconds(10));
@@ -248,14 +249,14 @@
 {
 
 /// The plan of the integration test: 24 slots of 250 tokens per second each.
-fake_fleet::plan integration_plan(std::uint64_t seed)
+fake_fleet::fleet_options integration_plan(std::uint64_t seed)
 {
     return {.accounts = 3,
             .slots = 4,
             .seed = seed,
-            .least_cost = 20,
-            .most_cost = 80,
-            .per_cost = std::chrono::milliseconds(4)};
+            .min_attempt_cost = 20,
+            .max_attempt_cost = 80,
+            .time_per_cost = std::chrono::milliseconds(4)};
 }
 
 /// Bound of the service gap under the integration plan: two accounts hold a
--- a/packages/core/unittests/fake_fleet.cpp
+++ b/packages/core/unittests/fake_fleet.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-fake_fleet::fake_fleet(plan chosen)
+fake_fleet::fake_fleet(fleet_options chosen)
     : plan_(std::move(chosen)), random_(static_cast<std::uint32_t>(plan_.seed))
 {
     const std::size_t count = plan_.domains * plan_.instances_per_domain;
@@ -61,8 +61,8 @@
     return "planner/" + std::to_string(domain) + '-' + std::to_string(endpoint);
 }
 
-void fake_fleet::lose_route(std::size_t index, std::size_t domain,
-                            std::size_t endpoint)
+void fake_fleet::hide_endpoint(std::size_t index, std::size_t domain,
+                               std::size_t endpoint)
 {
     hidden_endpoints_.emplace(index,
                               endpoint_id::of(endpoint_name(domain, endpoint)));
@@ -247,14 +247,14 @@
         return;
     }
     ++recorded.runs;
-    boost::random::uniform_int_distribution<std::int64_t> draw(plan_.least_cost,
-                                                               plan_.most_cost);
+    boost::random::uniform_int_distribution<std::int64_t> draw(
+        plan_.min_attempt_cost, plan_.max_attempt_cost);
     const std::int64_t total = draw(random_);
     started.result.total = cost(total);
     started.result.end = random_event(fault_chances_.fails)
                              ? attempt_end::failed_before_answer
                              : attempt_end::completed;
-    started.done = now_ + plan_.per_cost * total;
+    started.done = now_ + plan_.time_per_cost * total;
     attempts_.push_back(started);
 }
 
@@ -374,7 +374,7 @@
     return found == events_.end() ? 0 : found->second;
 }
 
-std::int64_t fake_fleet::service_of(std::size_t index) const
+std::int64_t fake_fleet::ended_cost_of(std::size_t index) const
 {
     const auto found = service_.find(account(index));
     return found == service_.end() ? 0 : found->second;
--- a/packages/core/unittests/fake_fleet.hpp
+++ b/packages/core/unittests/fake_fleet.hpp
@@ -38,7 +38,7 @@
     int completed = 0;
     int refused = 0;
     /// The instance was killed before it completed or refused the request.
-    bool entry_died = false;
+    bool entry_killed = false;
     /// Of the last refusal.
     executed ran = executed::unknown;
     refusal_reason reason = refusal_reason::queue_full;
@@ -47,7 +47,7 @@
 class fake_fleet
 {
   public:
-    struct plan
+    struct fleet_options
     {
         std::size_t domains = 3;
         std::size_t instances_per_domain = 2;
@@ -59,14 +59,14 @@
         std::uint64_t seed = 1;
         /// Weights of the first client accounts; the others keep the default.
         std::vector<double> weights{};
-        std::int64_t least_cost = 50;
-        std::int64_t most_cost = 400;
+        std::int64_t min_attempt_cost = 50;
+        std::int64_t max_attempt_cost = 400;
         /// Execution time per unit of cost.
-        duration per_cost = std::chrono::milliseconds(2);
+        duration time_per_cost = std::chrono::milliseconds(2);
         duration network_delay = std::chrono::milliseconds(2);
     };
 
-    explicit fake_fleet(plan chosen);
+    explicit fake_fleet(fleet_options chosen);
     ~fake_fleet();
 
     /// Advances the clock by `length` in steps of 10 ms.
@@ -92,11 +92,11 @@
     /// it after a random delay of its own of at most `max_lag`.
     void publish_members(const std::set<std::size_t>& without,
                          duration max_lag);
-    void set_chances(chances percent) { fault_chances_ = percent; }
+    void set_fault_chances(chances percent) { fault_chances_ = percent; }
     /// Makes a node fail to send attempts to an endpoint, as if its older
     /// configuration did not include it.
-    void lose_route(std::size_t index, std::size_t domain,
-                    std::size_t endpoint);
+    void hide_endpoint(std::size_t index, std::size_t domain,
+                       std::size_t endpoint);
 
     [[nodiscard]] std::size_t size() const { return nodes_.size(); }
     [[nodiscard]] bool running(std::size_t index) const;
@@ -109,7 +109,7 @@
     /// Number of events of one type, over all nodes.
     [[nodiscard]] int events(event_number number) const;
     /// Total cost of the account's attempts that have ended.
-    [[nodiscard]] std::int64_t service_of(std::size_t account) const;
+    [[nodiscard]] std::int64_t ended_cost_of(std::size_t account) const;
     [[nodiscard]] std::uint32_t used_slots() const;
     [[nodiscard]] std::size_t open_requests() const;
     static account_id account(std::size_t index);
@@ -157,7 +157,7 @@
     void begin_attempt(std::size_t from, const dispatch& command);
     void apply_result(fake_node& owner, const attempt_result& result);
 
-    plan plan_;
+    fleet_options plan_;
     boost::random::mt19937 random_;
     chances fault_chances_;
     time_point now_{std::chrono::seconds(1000)};
--- a/packages/core/unittests/fake_fleet_faults.cpp
+++ b/packages/core/unittests/fake_fleet_faults.cpp
@@ -16,7 +16,7 @@
         if (recorded.entry != index || id.incarnation != target.incarnation)
             continue;
         if (recorded.completed + recorded.refused == 0)
-            recorded.entry_died = true;
+            recorded.entry_killed = true;
     }
 }
 
--- a/packages/core/unittests/random_test.cpp
+++ b/packages/core/unittests/random_test.cpp
@@ -91,7 +91,7 @@
 /// Removes all faults and runs the fleet until all requests have ended.
 void repair_and_drain(fake_fleet& fleet)
 {
-    fleet.set_chances({});
+    fleet.set_fault_chances({});
     for (std::size_t i = 0; i < 3; ++i)
         fleet.cut_domain(i, false);
     for (std::size_t i = 0; i < fleet.size(); ++i)
@@ -110,7 +110,7 @@
 void check_request(const outcome& result)
 {
     const int final_answers = result.completed + result.refused;
-    if (!result.entry_died)
+    if (!result.entry_killed)
         RC_ASSERT(final_answers == 1);
     RC_ASSERT(final_answers <= 1);
     if (result.refused > 0 && result.ran == executed::no)
@@ -131,14 +131,14 @@
 void run_script(const std::vector<script_step>& script, std::uint64_t seed,
                 chances fault_chances)
 {
-    fake_fleet::plan plan;
-    plan.seed = seed;
-    fake_fleet fleet(plan);
+    fake_fleet::fleet_options fleet_options;
+    fleet_options.seed = seed;
+    fake_fleet fleet(fleet_options);
     fleet.advance(std::chrono::seconds(10));
-    fleet.set_chances(fault_chances);
+    fleet.set_fault_chances(fault_chances);
     for (const script_step& step : script)
     {
-        apply_step(fleet, step, plan.accounts);
+        apply_step(fleet, step, fleet_options.accounts);
         fleet.advance(std::chrono::milliseconds(50));
     }
     repair_and_drain(fleet);
--- a/packages/core/unittests/regression_test.cpp
+++ b/packages/core/unittests/regression_test.cpp
@@ -21,11 +21,11 @@
 {
     fake_fleet fleet({});
     fleet.advance(std::chrono::seconds(3));
-    fleet.set_chances({.fails = 100});
+    fleet.set_fault_chances({.fails = 100});
     const request_id id = fleet.submit(0, 0);
     while (fleet.outcomes().at(id).runs == 0)
         fleet.advance(std::chrono::milliseconds(10));
-    fleet.set_chances({.nothing_sent = 100});
+    fleet.set_fault_chances({.nothing_sent = 100});
     fleet.advance(max_request_duration);
     const outcome& result = fleet.outcomes().at(id);
     cr_assert_eq(result.refused, 1);
@@ -39,7 +39,7 @@
 {
     fake_fleet fleet({});
     fleet.advance(std::chrono::seconds(3));
-    fleet.set_chances({.not_connected = 100});
+    fleet.set_fault_chances({.not_connected = 100});
     const request_id id = fleet.submit(0, 0);
     const auto retries = [&]
     {
@@ -49,7 +49,7 @@
     };
     while (retries() == 0)
         fleet.advance(std::chrono::milliseconds(10));
-    fleet.set_chances({});
+    fleet.set_fault_chances({});
     fleet.advance(max_request_duration);
     cr_assert_eq(fleet.outcomes().at(id).completed, 1);
     cr_assert_eq(fleet.outcomes().at(id).runs, 1);
@@ -61,7 +61,7 @@
 {
     fake_fleet fleet({});
     fleet.advance(std::chrono::seconds(3));
-    fleet.set_chances({.nothing_sent = 100});
+    fleet.set_fault_chances({.nothing_sent = 100});
     for (int i = 0; i < 10; ++i)
         fleet.submit(0, 0);
     fleet.advance(std::chrono::seconds(10));
@@ -74,7 +74,7 @@
 {
     fake_fleet fleet({});
     for (std::size_t domain = 0; domain < 3; ++domain)
-        fleet.lose_route(0, domain, 0);
+        fleet.hide_endpoint(0, domain, 0);
     fleet.advance(std::chrono::seconds(3));
     for (int i = 0; i < 20; ++i)
     {
--- a/packages/core/unittests/service_exchange_test.cpp
+++ b/packages/core/unittests/service_exchange_test.cpp
@@ -32,13 +32,13 @@
     void serve(account_id account, std::int64_t amount)
     {
         queue.charge(account, cost(amount));
-        exchange.add_own(account, cost(amount));
+        exchange.add_local_service(account, cost(amount));
     }
 
     void lift(account_id account, double by)
     {
         queue.adopt(account, queue.at(account) + virtual_time(by));
-        exchange.note_lift(account);
+        exchange.mark_lifted(account);
     }
 
     shard_id shard;
