--- a/packages/adapters/include/sycamorelock/adapters/direct/control_plane.hpp
+++ b/packages/adapters/include/sycamorelock/adapters/direct/control_plane.hpp
@@ -144,7 +144,7 @@
     std::string aggregator_;
     /// What another failure domain's aggregator last told of engines.
     std::vector<core::direct::service_figures> domain_figures_;
-    core::direct::store_cover cover_;
+    core::direct::aggregator_coverage cover_;
     core::direct::store_knowledge knowledge_;
     core::direct::store_uptime uptime_;
     /// Digest of the endpoints in the registry.
--- a/packages/adapters/lib/direct/attempt.cpp
+++ b/packages/adapters/lib/direct/attempt.cpp
@@ -317,7 +317,7 @@
                             {"request", request_.meta.attempt_id}});
     if (answer.rest.count() == 0)
         return;
-    context_.router.note_rest(now(), from, answer.rest);
+    context_.router.note_backoff(now(), from, answer.rest);
     ++context_.metrics.rests_asked;
     context_.log.write(direct_event::endpoint_rests,
                        {{"endpoint", from.boot},
--- a/packages/adapters/lib/direct/control_plane.cpp
+++ b/packages/adapters/lib/direct/control_plane.cpp
@@ -106,7 +106,7 @@
     if (drop_expired())
         endpoints_changed();
     traffic_.note_endpoints_current(endpoints_current_at());
-    for (const core::instance_id silent : peers_.newly_silent(at))
+    for (const core::instance_id silent : peers_.newly_unreachable(at))
         traffic_.forget_instance(silent);
     for (const std::string& stale : peers_.stale_links(at))
     {
@@ -135,7 +135,7 @@
     if (!peers_.large(at))
     {
         choose_reader(at, true);
-        tell(at, report, peers_.everyone());
+        tell(at, report, peers_.known_addresses());
         return;
     }
     relay_.add_own(std::move(report.notes));
--- a/packages/adapters/lib/direct/control_plane_endpoints.cpp
+++ b/packages/adapters/lib/direct/control_plane_endpoints.cpp
@@ -163,9 +163,9 @@
     core::direct::store_view view;
     view.revision = store_.revision();
     view.age = std::chrono::ceil<milliseconds>(at - store_.answered_at());
-    view.up = uptime_.told_at(at);
+    view.up = uptime_.for_report(at);
     view.digest = digest_;
-    view.drains = drains_.told_at(at);
+    view.drains = drains_.for_report(at);
     return view;
 }
 
@@ -234,7 +234,7 @@
                           const std::vector<endpoint_record>& all,
                           const std::string& source)
 {
-    const core::direct::endpoint_registry::listing_news news =
+    const core::direct::endpoint_registry::listing_changes news =
         registry_.adopt(revision, all);
     for (const endpoint_record& record : news.changed)
         note_endpoint(record, source);
--- a/packages/adapters/lib/direct/control_plane_help.cpp
+++ b/packages/adapters/lib/direct/control_plane_help.cpp
@@ -67,7 +67,7 @@
 {
     const core::time_point at = now();
     if (!peers_.is_newest(behind) ||
-        !knowledge_.must_help(at, behind.sender, behind.store))
+        !knowledge_.needs_endpoints(at, behind.sender, behind.store))
         return;
     exchange_report copy = copy_at(at);
     copy.store = own_store_view(at);
--- a/packages/adapters/lib/direct/store_watch.cpp
+++ b/packages/adapters/lib/direct/store_watch.cpp
@@ -17,7 +17,7 @@
 /// How long a waiting call may wait. A connection that went silent shows after
 /// this time and `answer_slack`; a longer one saves calls.
 constexpr milliseconds watch_wait{2000};
-/// The same at an instance on which others rely, see `store_cover`.
+/// The same at an instance on which others rely, see `aggregator_coverage`.
 constexpr milliseconds short_watch_wait{500};
 /// Time for the way of an answer beyond the wait, also from a slow store.
 constexpr milliseconds answer_slack{700};
--- a/packages/core/include/sycamorelock/core/direct/drained_domains.hpp
+++ b/packages/core/include/sycamorelock/core/direct/drained_domains.hpp
@@ -56,7 +56,7 @@
     /// All domains with an active drain.
     [[nodiscard]] std::set<domain_id> active() const;
     /// The states of all domains, to report to other instances.
-    [[nodiscard]] std::vector<domain_drain> told_at(time_point now) const;
+    [[nodiscard]] std::vector<domain_drain> for_report(time_point now) const;
 
   private:
     struct drain_state
--- a/packages/core/include/sycamorelock/core/direct/endpoint_health.hpp
+++ b/packages/core/include/sycamorelock/core/direct/endpoint_health.hpp
@@ -25,11 +25,11 @@
     void unreachable(time_point now);
 
     /// Slowdown factor: observed over predicted time, 1 if nothing is known.
-    [[nodiscard]] double slowness(time_point now) const;
+    [[nodiscard]] double slowdown(time_point now) const;
     /// Fraction of recent requests that failed, from 0 to 1.
     [[nodiscard]] double failure_rate(time_point now) const;
     /// Whether the endpoint is ejected: it was unreachable a short time ago.
-    [[nodiscard]] bool set_aside(time_point now) const
+    [[nodiscard]] bool is_ejected(time_point now) const
     {
         return now < ejected_until_;
     }
--- a/packages/core/include/sycamorelock/core/direct/endpoint_notices.hpp
+++ b/packages/core/include/sycamorelock/core/direct/endpoint_notices.hpp
@@ -21,7 +21,7 @@
   public:
     /// How long the notice of an endpoint that is no longer listed is kept.
     /// Such an endpoint has terminated long before.
-    static constexpr duration keep_unlisted = std::chrono::minutes(10);
+    static constexpr duration notice_retention = std::chrono::minutes(10);
 
     /// Records that an endpoint announced its shutdown, which is final. Returns
     /// whether the announcement is its first.
@@ -40,25 +40,25 @@
     /// Records that an endpoint rejected a request and requested back-off, as
     /// with `Retry-After`. A shorter back-off does not cut an earlier one
     /// short.
-    void note_rest(time_point now, const endpoint_record& endpoint,
-                   milliseconds requested);
+    void note_backoff(time_point now, const endpoint_record& endpoint,
+                      milliseconds requested);
 
     /// When the next request may be sent; in the past if there is no back-off.
-    [[nodiscard]] time_point rests_until(const endpoint_record& endpoint) const;
+    [[nodiscard]] time_point backoff_end(const endpoint_record& endpoint) const;
 
     /// Records that a request is about to be sent to an endpoint. Within the
     /// back-off that the endpoint requested, the request is a probe and no
     /// other one may be sent for `probe_interval`. Returns whether it is a
     /// probe.
-    bool note_trial(time_point now, const endpoint_record& endpoint);
+    bool note_probe(time_point now, const endpoint_record& endpoint);
 
     /// Ends the back-off of an endpoint, which has served a request.
-    void end_rest(time_point now, const endpoint_record& endpoint);
+    void end_backoff(time_point now, const endpoint_record& endpoint);
 
     /// Removes the notices of endpoints that have not been listed for
-    /// `keep_unlisted`.
-    void keep_listed(time_point now,
-                     const std::map<std::string, endpoint_record>& listed);
+    /// `notice_retention`.
+    void expire_unlisted(time_point now,
+                         const std::map<std::string, endpoint_record>& listed);
 
   private:
     struct notice
@@ -66,7 +66,7 @@
         std::string address;
         bool leaving = false;
         /// When the next request may be sent.
-        time_point rests_until;
+        time_point backoff_end;
         /// When the whole back-off that it requested ends.
         time_point requested_until;
         /// When it was last found in a listing.
--- a/packages/core/include/sycamorelock/core/direct/endpoint_registry.hpp
+++ b/packages/core/include/sycamorelock/core/direct/endpoint_registry.hpp
@@ -98,7 +98,7 @@
     std::vector<std::string> expire(time_point now);
 
     /// Changes that a complete listing made.
-    struct listing_news
+    struct listing_changes
     {
         std::vector<endpoint_record> changed;
         /// Names of the entries that the listing lacks.
@@ -111,8 +111,8 @@
     ///
     /// \param revision revision of the store up to which the listing is
     /// complete.
-    listing_news adopt(std::uint64_t revision,
-                       const std::vector<endpoint_record>& all);
+    listing_changes adopt(std::uint64_t revision,
+                          const std::vector<endpoint_record>& all);
 
     /// A hash that is equal for two instances that know the same endpoints.
     [[nodiscard]] std::uint64_t digest() const;
@@ -124,7 +124,7 @@
 
   private:
     /// Adds and updates entries, and finds those that the listing lacks.
-    listing_news merge(const std::vector<endpoint_record>& all);
+    listing_changes merge(const std::vector<endpoint_record>& all);
     /// Whether so few entries of a service are missing since the end of the
     /// outage that their endpoints have left rather than lapsed.
     [[nodiscard]] bool few_missing(service_id service) const;
--- a/packages/core/include/sycamorelock/core/direct/load_ledger.hpp
+++ b/packages/core/include/sycamorelock/core/direct/load_ledger.hpp
@@ -69,7 +69,7 @@
         /// counts as remaining until the first token.
         time_point reads_from = time_point::max();
         /// The endpoint's slowdown factor: observed over predicted time.
-        double slowness = 1;
+        double slowdown = 1;
         /// Assigned by open().
         std::uint64_t number = 0;
     };
@@ -121,7 +121,7 @@
         /// Predicted prefill time without the slowdown factor.
         double ms = 0;
         time_point reads_from;
-        double slowness = 1;
+        double slowdown = 1;
 
         /// Prefill time that remains, without the slowdown factor.
         [[nodiscard]] double remaining_ms(time_point now) const;
--- a/packages/core/include/sycamorelock/core/direct/peers.hpp
+++ b/packages/core/include/sycamorelock/core/direct/peers.hpp
@@ -79,7 +79,7 @@
 
     /// Addresses to send reports to in a small fleet: the seeds and all known
     /// peers.
-    [[nodiscard]] std::vector<std::string> everyone() const;
+    [[nodiscard]] std::vector<std::string> known_addresses() const;
     /// Randomly drawn addresses to gossip to in a large fleet.
     std::vector<std::string> gossip_targets(time_point now);
     /// Address of the instance that should aggregate a failure domain: the one
@@ -99,7 +99,7 @@
     [[nodiscard]] std::size_t live(time_point now) const;
 
     /// Instances that became unreachable since the last call.
-    std::vector<instance_id> newly_silent(time_point now);
+    std::vector<instance_id> newly_unreachable(time_point now);
 
   private:
     struct peer
@@ -120,7 +120,7 @@
         time_point last_report_at;
         /// When another instance first listed it.
         time_point known_since;
-        /// Cleared by `newly_silent` once the peer is unreachable.
+        /// Cleared by `newly_unreachable` once the peer is unreachable.
         bool live = false;
         bool leaving = false;
     };
--- a/packages/core/include/sycamorelock/core/direct/router.hpp
+++ b/packages/core/include/sycamorelock/core/direct/router.hpp
@@ -102,7 +102,7 @@
     double wait_ms = 0;
     /// Slowdown factor (observed over predicted time) of the endpoint when it
     /// was chosen.
-    double slowness = 1;
+    double slowdown = 1;
     std::optional<fetch_plan> fetch;
     load_ledger::hold hold;
     /// Time at which the attempt began to occupy a slot, before its connection
@@ -258,8 +258,8 @@
     bool note_leaving(time_point now, const endpoint_record& from);
     /// Records that an endpoint declined a request and requested back-off for
     /// a time.
-    void note_rest(time_point now, const endpoint_record& from,
-                   milliseconds requested);
+    void note_backoff(time_point now, const endpoint_record& from,
+                      milliseconds requested);
     /// Retry delay for a caller whose request cannot be served, if all
     /// endpoints of the service that are neither leaving nor drained have
     /// requested back-off. The delay is randomised per caller and never ends
@@ -394,7 +394,7 @@
         void apply(const endpoint_notices& notices)
         {
             announced_leaving = notices.is_leaving(record);
-            backoff_until = notices.rests_until(record);
+            backoff_until = notices.backoff_end(record);
         }
         [[nodiscard]] bool is_leaving() const
         {
@@ -418,7 +418,7 @@
         [[nodiscard]] bool is_usable(time_point now) const
         {
             return !is_leaving() && !is_drained && !is_backing_off(now) &&
-                   !health.set_aside(now);
+                   !health.is_ejected(now);
         }
     };
     using endpoint_list = std::span<const endpoint_state* const>;
@@ -428,7 +428,7 @@
         double wait_ms = 0;
         double prefill_ms = 0;
         double cached = 0;
-        double slowness = 1;
+        double slowdown = 1;
         /// Number of further requests that get a slot immediately, and the
         /// wait, in ms, that each request beyond them adds.
         double free_slots = 0;
--- a/packages/core/include/sycamorelock/core/direct/store_cover.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_cover.hpp
@@ -11,7 +11,7 @@
 /// reports. Members rely on them to limit the load on the store, whose capacity
 /// for calls all instances share: 72 instances that all wait for changes made
 /// 6,790 calls per minute.
-class store_cover
+class aggregator_coverage
 {
   public:
     /// An instance reads the store itself if its aggregator has sent no report
--- a/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
@@ -35,8 +35,8 @@
 
     /// Whether `peer`, which reported this view of the store, must be sent all
     /// endpoints. If so, the copy counts as sent for the rate limit.
-    bool must_help(time_point now, const std::string& peer,
-                   const store_view& reported);
+    bool needs_endpoints(time_point now, const std::string& peer,
+                         const store_view& reported);
 
     /// Processes the view of an instance that reads the store itself. If it has
     /// the same endpoints, those known here are as current as its own.
--- a/packages/core/include/sycamorelock/core/direct/store_uptime.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_uptime.hpp
@@ -34,7 +34,7 @@
     /// Start of the current uptime.
     [[nodiscard]] time_point since() const { return since_; }
     /// The uptime to report to other instances, zero if no answer is known.
-    [[nodiscard]] milliseconds told_at(time_point now) const;
+    [[nodiscard]] milliseconds for_report(time_point now) const;
 
   private:
     /// Adds a span of time in which the store was reachable. Returns whether it
--- a/packages/core/lib/direct/drained_domains.cpp
+++ b/packages/core/lib/direct/drained_domains.cpp
@@ -70,7 +70,7 @@
     return result;
 }
 
-std::vector<domain_drain> drained_domains::told_at(time_point now) const
+std::vector<domain_drain> drained_domains::for_report(time_point now) const
 {
     std::vector<domain_drain> result;
     result.reserve(known_.size());
--- a/packages/core/lib/direct/endpoint_health.cpp
+++ b/packages/core/lib/direct/endpoint_health.cpp
@@ -82,7 +82,7 @@
         now + std::min(initial_ejection * (1 << doublings), max_ejection);
 }
 
-double endpoint_health::slowness(time_point now) const
+double endpoint_health::slowdown(time_point now) const
 {
     return std::exp(log_slowdown_ * decay_factor(slowdown_at_, now));
 }
--- a/packages/core/lib/direct/endpoint_notices.cpp
+++ b/packages/core/lib/direct/endpoint_notices.cpp
@@ -43,43 +43,44 @@
     return known != nullptr && known->leaving;
 }
 
-void endpoint_notices::note_rest(time_point now,
-                                 const endpoint_record& endpoint,
-                                 milliseconds requested)
+void endpoint_notices::note_backoff(time_point now,
+                                    const endpoint_record& endpoint,
+                                    milliseconds requested)
 {
     notice& known = find_or_create(now, endpoint);
-    known.rests_until =
-        std::max(known.rests_until, now + std::min(requested, max_backoff));
+    known.backoff_end =
+        std::max(known.backoff_end, now + std::min(requested, max_backoff));
     known.requested_until = std::max(known.requested_until, now + requested);
 }
 
-bool endpoint_notices::note_trial(time_point now,
+bool endpoint_notices::note_probe(time_point now,
                                   const endpoint_record& endpoint)
 {
     const notice* known = find(endpoint);
     if (known == nullptr || now >= known->requested_until)
         return false;
-    find_or_create(now, endpoint).rests_until =
+    find_or_create(now, endpoint).backoff_end =
         std::min(known->requested_until, now + probe_interval);
     return true;
 }
 
-void endpoint_notices::end_rest(time_point now, const endpoint_record& endpoint)
+void endpoint_notices::end_backoff(time_point now,
+                                   const endpoint_record& endpoint)
 {
     if (find(endpoint) == nullptr)
         return;
     notice& known = find_or_create(now, endpoint);
-    known.rests_until = time_point();
+    known.backoff_end = time_point();
     known.requested_until = time_point();
 }
 
-time_point endpoint_notices::rests_until(const endpoint_record& endpoint) const
+time_point endpoint_notices::backoff_end(const endpoint_record& endpoint) const
 {
     const notice* known = find(endpoint);
-    return known == nullptr ? time_point() : known->rests_until;
+    return known == nullptr ? time_point() : known->backoff_end;
 }
 
-void endpoint_notices::keep_listed(
+void endpoint_notices::expire_unlisted(
     time_point now, const std::map<std::string, endpoint_record>& listed)
 {
     if (notices_.empty())
@@ -91,7 +92,7 @@
             found->second.listed_at = now;
     }
     std::erase_if(notices_, [now](const auto& each)
-                  { return now - each.second.listed_at > keep_unlisted; });
+                  { return now - each.second.listed_at > notice_retention; });
 }
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/lib/direct/endpoint_registry.cpp
+++ b/packages/core/lib/direct/endpoint_registry.cpp
@@ -50,10 +50,10 @@
         missing_.insert(boot);
 }
 
-endpoint_registry::listing_news
+endpoint_registry::listing_changes
 endpoint_registry::merge(const std::vector<endpoint_record>& all)
 {
-    listing_news result;
+    listing_changes result;
     std::set<std::string_view> listed;
     for (const endpoint_record& record : all)
     {
@@ -75,14 +75,14 @@
         remove(boot);
 }
 
-endpoint_registry::listing_news
+endpoint_registry::listing_changes
 endpoint_registry::adopt(std::uint64_t revision,
                          const std::vector<endpoint_record>& all)
 {
     if (revision < adopted_revision_)
         return {};
     adopted_revision_ = revision;
-    listing_news result = merge(all);
+    listing_changes result = merge(all);
     for (const std::string& boot : result.gone)
         drop(boot);
     return result;
--- a/packages/core/lib/direct/load_ledger.cpp
+++ b/packages/core/lib/direct/load_ledger.cpp
@@ -19,7 +19,7 @@
 {
     const double elapsed_ms =
         std::chrono::duration<double, std::milli>(now - reads_from).count() /
-        slowness;
+        slowdown;
     return std::clamp(ms - elapsed_ms, ms * min_remaining, ms);
 }
 
@@ -37,7 +37,7 @@
     own_work& work = own_[request.endpoint];
     work.sum.endpoint = request.endpoint;
     work.pending.push_back({request.number, request.unread_ms,
-                            request.reads_from, request.slowness});
+                            request.reads_from, request.slowdown});
     work.sum.tokens += request.tokens;
     ++work.sum.waiting;
 }
--- a/packages/core/lib/direct/peers.cpp
+++ b/packages/core/lib/direct/peers.cpp
@@ -123,7 +123,7 @@
                                 each->second.number, each->second.domain});
 }
 
-std::vector<std::string> peers::everyone() const
+std::vector<std::string> peers::known_addresses() const
 {
     std::set<std::string> all = seeds_;
     for (const auto& [address, known] : peers_)
@@ -237,7 +237,7 @@
     return result;
 }
 
-std::vector<instance_id> peers::newly_silent(time_point now)
+std::vector<instance_id> peers::newly_unreachable(time_point now)
 {
     std::vector<instance_id> result;
     for (auto& [address, known] : peers_)
--- a/packages/core/lib/direct/router.cpp
+++ b/packages/core/lib/direct/router.cpp
@@ -170,10 +170,10 @@
     return is_new;
 }
 
-void router::note_rest(time_point now, const endpoint_record& from,
-                       milliseconds requested)
+void router::note_backoff(time_point now, const endpoint_record& from,
+                          milliseconds requested)
 {
-    notices_.note_rest(now, from, requested);
+    notices_.note_backoff(now, from, requested);
     apply_notices(from.id());
 }
 
@@ -219,7 +219,7 @@
 void router::set_endpoints(time_point now,
                            const std::map<std::string, endpoint_record>& all)
 {
-    notices_.keep_listed(now, all);
+    notices_.expire_unlisted(now, all);
     std::map<endpoint_id, endpoint_state> next;
     endpoints_by_service_.clear();
     for (const auto& [boot, record] : all)
@@ -321,7 +321,7 @@
     placement.sent = now;
     if (uses(mechanism::reading_progress))
         placement.hold.reads_from = now + time_to_prefill_start(placement);
-    placement.hold.slowness = placement.slowness;
+    placement.hold.slowdown = placement.slowdown;
     ledger_.open(placement.hold);
     if (const auto found = endpoints_.find(placement.hold.endpoint);
         found != endpoints_.end() && found->second.is_limited(now))
@@ -365,7 +365,7 @@
     observed.cached = placement.cached_tokens;
     observed.uncached = request.prompt_tokens - placement.cached_tokens;
     observed.wait_ms = placement.wait_ms;
-    observed.took_ms = (took_ms - placement.wait_ms) / placement.slowness;
+    observed.took_ms = (took_ms - placement.wait_ms) / placement.slowdown;
     estimator->second.observe(now, observed);
 }
 
@@ -395,7 +395,7 @@
         health.succeeded(now);
         if (placement.is_trial)
         {
-            notices_.end_rest(now, placement.endpoint);
+            notices_.end_backoff(now, placement.endpoint);
             apply_notices(placement.hold.endpoint);
         }
         record_hold_time(now, placement);
--- a/packages/core/lib/direct/router_decision.cpp
+++ b/packages/core/lib/direct/router_decision.cpp
@@ -158,7 +158,7 @@
         fetch_links_.transfer_ms(context.now, context.service_info, source->id,
                                  result.state->id, tokens);
     const double prefill_ms =
-        context.prefill_ms(context.source.tokens) * result.slowness;
+        context.prefill_ms(context.source.tokens) * result.slowdown;
     const double cost = result.wait_ms +
                         transfer_ms * (1 + transfer_cost_factor) +
                         prefill_ms * (1 + prefill_cost_factor());
@@ -179,13 +179,13 @@
     const double slots = std::max(1U, result.state->record.slots);
     result.cached = std::min(cache_.cached(id, context.request.parts),
                              context.request.prompt_tokens);
-    result.prefill_ms = context.prefill_ms(result.cached) * result.slowness;
+    result.prefill_ms = context.prefill_ms(result.cached) * result.slowdown;
     result.free_slots =
         slots * usable_slot_fraction - work.running - work.waiting;
     result.ms_per_request =
         context.hold_estimate.mean_ms() / (slots * usable_slot_fraction);
     result.wait_ms =
-        work.unread_ms * result.slowness +
+        work.unread_ms * result.slowdown +
         context.hold_estimate.wait_ms(work.running + work.waiting,
                                       slots * usable_slot_fraction);
     // A prompt that does not fit into the free memory waits until requests end.
@@ -201,7 +201,7 @@
 {
     const unsigned waiting = ledger_.total(result.state->id).waiting;
     const double slots = std::max(1U, result.state->record.slots);
-    result.prefill_ms = default_plain_work_ms * result.slowness;
+    result.prefill_ms = default_plain_work_ms * result.slowdown;
     result.free_slots = slots - waiting;
     result.ms_per_request = result.prefill_ms / slots;
     result.wait_ms =
@@ -215,7 +215,7 @@
     candidate result;
     result.state = &endpoint;
     if (uses(mechanism::engine_speed))
-        result.slowness = endpoint.health.slowness(context.now);
+        result.slowdown = endpoint.health.slowdown(context.now);
     if (context.service_info.is_engine())
         evaluate_engine(context, result);
     else
@@ -445,7 +445,7 @@
         return refuse_for_load(request, best->wait_ms, allowed_ms);
     admitted.sent.add(now, 1);
     placement_decision result = make_placement(context, std::move(*best));
-    result.is_trial = notices_.note_trial(now, result.endpoint);
+    result.is_trial = notices_.note_probe(now, result.endpoint);
     if (result.is_trial)
         apply_notices(result.hold.endpoint);
     return result;
@@ -470,14 +470,14 @@
     result.release = best.state->release;
     result.wait_ms = best.wait_ms;
     result.cached_tokens = best.cached;
-    result.slowness = best.slowness;
+    result.slowdown = best.slowdown;
     result.predicted_ms = best.wait_ms + best.prefill_ms;
     result.hold.endpoint = best.state->id;
     result.hold.tokens =
         context.request.prompt_tokens + context.request.output_tokens;
     if (!context.service_info.is_engine())
         return result;
-    result.predicted_ms += context.figures.first_ms * best.slowness;
+    result.predicted_ms += context.figures.first_ms * best.slowdown;
     result.hold.unread_ms = context.prefill_ms(best.cached);
     result.fetch = std::move(best.fetch);
     if (result.fetch)
--- a/packages/core/lib/direct/store_cover.cpp
+++ b/packages/core/lib/direct/store_cover.cpp
@@ -4,7 +4,7 @@
 namespace sycamorelock::core::direct
 {
 
-void store_cover::heard(time_point now, const store_view& view)
+void aggregator_coverage::heard(time_point now, const store_view& view)
 {
     last_report_at_ = now;
     if (view.revision > 0)
@@ -12,7 +12,7 @@
     is_current_ = view.revision > 0 && view.age <= max_answer_age;
 }
 
-bool store_cover::covered(time_point now) const
+bool aggregator_coverage::covered(time_point now) const
 {
     return is_current_ && now - last_report_at_ <= aggregator_timeout;
 }
--- a/packages/core/lib/direct/store_knowledge.cpp
+++ b/packages/core/lib/direct/store_knowledge.cpp
@@ -15,8 +15,8 @@
         revisions_.pop_front();
 }
 
-bool store_knowledge::must_help(time_point now, const std::string& peer,
-                                const store_view& reported)
+bool store_knowledge::needs_endpoints(time_point now, const std::string& peer,
+                                      const store_view& reported)
 {
     if (reported.digest == digest_ || revisions_.empty())
         return false;
--- a/packages/core/lib/direct/store_uptime.cpp
+++ b/packages/core/lib/direct/store_uptime.cpp
@@ -29,7 +29,7 @@
     return false;
 }
 
-milliseconds store_uptime::told_at(time_point now) const
+milliseconds store_uptime::for_report(time_point now) const
 {
     if (last_answer_at_ == time_point())
         return milliseconds(0);
--- a/packages/core/unittests/direct_drains_test.cpp
+++ b/packages/core/unittests/direct_drains_test.cpp
@@ -83,7 +83,7 @@
     drained_domains drains;
     drains.put(start, drain_of(hall, 5, true));
     drains.put(start, {yard, 6, false, seconds(1)});
-    const auto all = drains.told_at(start + seconds(2));
+    const auto all = drains.for_report(start + seconds(2));
     cr_assert_eq(all.size(), 2U);
     for (const domain_drain& each : all)
         cr_expect(each.ended_for ==
@@ -143,8 +143,8 @@
               refusal::drained);
     // The drain is the reason for the refusal even if an endpoint has requested
     // back-off.
-    fix.decides.note_rest(start, fixture::record("one", hall),
-                          milliseconds(3000));
+    fix.decides.note_backoff(start, fixture::record("one", hall),
+                             milliseconds(3000));
     cr_expect(std::get<refusal_decision>(fix.decide()).reason ==
               refusal::drained);
     fix.decides.set_drained(start, {hall}, {});
--- a/packages/core/unittests/direct_engines_test.cpp
+++ b/packages/core/unittests/direct_engines_test.cpp
@@ -335,7 +335,7 @@
     const placement_decision restarted = fix.place(fix.profile_with(4), now);
     cr_expect_float_eq(restarted.cached_tokens, 0, 1e-6);
     cr_expect_float_eq(restarted.wait_ms, 0, 1e-6);
-    cr_expect_float_eq(restarted.slowness, 1, 1e-6);
+    cr_expect_float_eq(restarted.slowdown, 1, 1e-6);
     fix.decides.finished(now, open, attempt_outcome::failed);
     cr_expect_float_eq(fix.place(fix.profile_with(5), now).wait_ms, 0, 1e-6);
 }
--- a/packages/core/unittests/direct_fleet_test.cpp
+++ b/packages/core/unittests/direct_fleet_test.cpp
@@ -57,12 +57,12 @@
             instances[i]->number(report);
             const auto targets = instances[i]->large(now)
                                      ? instances[i]->gossip_targets(now)
-                                     : instances[i]->everyone();
+                                     : instances[i]->known_addresses();
             for (const std::string& to : targets)
                 deliver(to, report);
         }
         for (auto& each : instances)
-            each->newly_silent(now);
+            each->newly_unreachable(now);
     }
 
     void deliver(const std::string& to, const exchange_report& report)
--- a/packages/core/unittests/direct_notices_test.cpp
+++ b/packages/core/unittests/direct_notices_test.cpp
@@ -98,10 +98,10 @@
     endpoint_notices notices;
     const endpoint_record one = record("one", "a:1");
     notices.note_leaving(start, one);
-    notices.keep_listed(start + minutes(9), {{"one", one}});
-    notices.keep_listed(start + minutes(18), {});
+    notices.expire_unlisted(start + minutes(9), {{"one", one}});
+    notices.expire_unlisted(start + minutes(18), {});
     cr_expect(notices.is_leaving(one));
-    notices.keep_listed(start + minutes(20), {});
+    notices.expire_unlisted(start + minutes(20), {});
     cr_expect_not(notices.is_leaving(one));
 }
 
@@ -158,7 +158,7 @@
     fixture fix;
     const endpoint_record one = record("one", "one:1");
     const placement_decision waiting = fix.place();
-    fix.decides.note_rest(start, waiting.endpoint, milliseconds(3000));
+    fix.decides.note_backoff(start, waiting.endpoint, milliseconds(3000));
     const auto at = [](int ms) { return start + milliseconds(ms); };
     cr_expect(fix.decides.withheld(at(2999), waiting) ==
               withheld_reason::resting);
@@ -180,8 +180,8 @@
 {
     fixture fix;
     fix.list({"one", "two"}, 1000);
-    fix.decides.note_rest(start, record("one", "one:1", 1000),
-                          milliseconds(3000));
+    fix.decides.note_backoff(start, record("one", "one:1", 1000),
+                             milliseconds(3000));
     cr_expect_eq(fix.endpoints_tried_in_turn().size(), 1U);
     fix.list({"one", "two"}, 2000);
     cr_expect_eq(fix.endpoints_tried_in_turn().size(), 2U);
@@ -191,13 +191,13 @@
 {
     endpoint_notices notices;
     const endpoint_record one = record("one", "a:1");
-    notices.note_rest(start, one, milliseconds(3000));
-    notices.note_rest(start, one, milliseconds(1000));
-    cr_expect(notices.rests_until(one) == start + milliseconds(3000));
-    notices.note_rest(start, one, std::chrono::hours(5));
-    cr_expect(notices.rests_until(one) ==
+    notices.note_backoff(start, one, milliseconds(3000));
+    notices.note_backoff(start, one, milliseconds(1000));
+    cr_expect(notices.backoff_end(one) == start + milliseconds(3000));
+    notices.note_backoff(start, one, std::chrono::hours(5));
+    cr_expect(notices.backoff_end(one) ==
               start + endpoint_notices::max_backoff);
-    cr_expect(notices.rests_until(record("one", "b:1")) == time_point());
+    cr_expect(notices.backoff_end(record("one", "b:1")) == time_point());
     cr_expect_not(notices.is_leaving(one));
 }
 
@@ -208,9 +208,9 @@
     fixture fix;
     const endpoint_record one = record("one", "one:1");
     const endpoint_record two = record("two", "two:1");
-    fix.decides.note_rest(start, one, milliseconds(3000));
+    fix.decides.note_backoff(start, one, milliseconds(3000));
     cr_expect_not(fix.decides.rest_pause(start, drafts).has_value());
-    fix.decides.note_rest(start, two, milliseconds(2000));
+    fix.decides.note_backoff(start, two, milliseconds(2000));
     for (int i = 0; i < 20; ++i)
     {
         request_profile request = fix.ask_for({{1, 1000}});
@@ -231,7 +231,7 @@
 {
     fixture fix(100);
     const endpoint_record one = record("one", "one:1");
-    fix.decides.note_rest(start, one, milliseconds(3000));
+    fix.decides.note_backoff(start, one, milliseconds(3000));
     const fetch_plan plan{one.id(), one.address, 1000, 5};
     cr_expect_not(fix.decides.may_fetch(start, plan));
     cr_expect(fix.decides.may_fetch(start + milliseconds(3000), plan));
@@ -243,7 +243,7 @@
 Test(direct_notices, a_back_off_beyond_a_minute_allows_two_probes)
 {
     fixture fix;
-    fix.decides.note_rest(start, record("one", "one:1"), seconds(90));
+    fix.decides.note_backoff(start, record("one", "one:1"), seconds(90));
     int sent = 0;
     for (int at = 1; at < 90; ++at)
         sent += fix.endpoints_tried_in_turn(start + seconds(at)).contains("one")
@@ -259,7 +259,7 @@
 {
     fixture fix;
     fix.list({"one"});
-    fix.decides.note_rest(start, record("one", "one:1"), seconds(90));
+    fix.decides.note_backoff(start, record("one", "one:1"), seconds(90));
     const time_point now = start + seconds(61);
     placement_decision probe = fix.place(now);
     cr_expect_not(fix.decides.withheld(now, probe).has_value());
--- a/packages/core/unittests/direct_parts_test.cpp
+++ b/packages/core/unittests/direct_parts_test.cpp
@@ -168,7 +168,7 @@
     first.reads_from = start;
     load_ledger::hold second{engine, 100, 5000, false};
     second.reads_from = start + std::chrono::milliseconds(1000);
-    second.slowness = 2;
+    second.slowdown = 2;
     ledger.open(first);
     ledger.open(second);
     ledger.refresh(start);
@@ -191,20 +191,20 @@
     endpoint_health health;
     for (int i = 0; i < 8; ++i)
         health.first_token(start, 1000, 200);
-    cr_expect_gt(health.slowness(start), 2.0);
-    cr_expect_lt(health.slowness(start + seconds(60)), 1.05);
+    cr_expect_gt(health.slowdown(start), 2.0);
+    cr_expect_lt(health.slowdown(start + seconds(60)), 1.05);
 }
 
 Test(direct_health, an_unreachable_endpoint_is_ejected_and_probed)
 {
     endpoint_health health;
     health.unreachable(start);
-    cr_expect(health.set_aside(start + std::chrono::milliseconds(400)));
-    cr_expect_not(health.set_aside(start + std::chrono::milliseconds(600)));
+    cr_expect(health.is_ejected(start + std::chrono::milliseconds(400)));
+    cr_expect_not(health.is_ejected(start + std::chrono::milliseconds(600)));
     for (int i = 0; i < 10; ++i)
         health.unreachable(start);
-    cr_expect(health.set_aside(start + seconds(3)));
-    cr_expect_not(health.set_aside(start + seconds(5)));
+    cr_expect(health.is_ejected(start + seconds(3)));
+    cr_expect_not(health.is_ejected(start + seconds(5)));
 }
 
 Test(direct_catalogue, the_longest_prefix_wins)
--- a/packages/core/unittests/direct_resume_test.cpp
+++ b/packages/core/unittests/direct_resume_test.cpp
@@ -163,7 +163,7 @@
 Test(direct_resume, an_endpoint_in_back_off_or_drained_is_not_gone)
 {
     instance fix;
-    fix.decides.note_rest(start, engine_of("one", "v1"), milliseconds(3000));
+    fix.decides.note_backoff(start, engine_of("one", "v1"), milliseconds(3000));
     const refusal_decision in_back_off = fix.refuse(start, old_release);
     cr_expect(in_back_off.reason == refusal::resting);
     cr_expect_geq(in_back_off.retry_after.count(), 2900);
--- a/packages/core/unittests/direct_store_test.cpp
+++ b/packages/core/unittests/direct_store_test.cpp
@@ -155,7 +155,7 @@
 Test(direct_cover,
      an_unreachable_aggregator_or_a_stale_answer_gives_no_coverage)
 {
-    store_cover cover;
+    aggregator_coverage cover;
     cr_expect_not(cover.covered(start));
     store_view view;
     view.revision = 7;
@@ -188,17 +188,18 @@
     // An instance gets time to read the change itself, but should have read
     // earlier ones already.
     here.know(later(100), 20, 2);
-    cr_expect_not(here.must_help(later(100), "slow", reported(10, 1)));
-    cr_expect(
-        here.must_help(later(100), "rejected by the store", reported(9, 0)));
+    cr_expect_not(here.needs_endpoints(later(100), "slow", reported(10, 1)));
+    cr_expect(here.needs_endpoints(later(100), "rejected by the store",
+                                   reported(9, 0)));
     here.know(later(800), 20, 2);
-    cr_expect(here.must_help(later(800), "slow", reported(10, 1)));
-    cr_expect_not(here.must_help(later(900), "slow", reported(10, 1)));
-    cr_expect(here.must_help(later(1200), "slow", reported(10, 1)));
+    cr_expect(here.needs_endpoints(later(800), "slow", reported(10, 1)));
+    cr_expect_not(here.needs_endpoints(later(900), "slow", reported(10, 1)));
+    cr_expect(here.needs_endpoints(later(1200), "slow", reported(10, 1)));
     // No copy is sent for the same endpoints or the same revision.
     cr_expect_not(
-        here.must_help(later(900), "same endpoints", reported(10, 2)));
-    cr_expect_not(here.must_help(later(900), "same revision", reported(20, 3)));
+        here.needs_endpoints(later(900), "same endpoints", reported(10, 2)));
+    cr_expect_not(
+        here.needs_endpoints(later(900), "same revision", reported(20, 3)));
 }
 
 Test(direct_knowledge,
@@ -315,7 +316,7 @@
     const time_point back = start + seconds(10);
     cr_expect(here.answered(back));
     cr_expect(here.since() == back);
-    cr_expect_eq(here.told_at(back + seconds(3)).count(), 3000);
+    cr_expect_eq(here.for_report(back + seconds(3)).count(), 3000);
 }
 
 Test(direct_uptime, answers_to_others_show_that_there_was_no_outage)
@@ -351,7 +352,7 @@
     // The sender has not read the store yet.
     cr_expect_not(here.told(now + seconds(5), {}));
     store_uptime fresh;
-    cr_expect_eq(fresh.told_at(now).count(), 0);
+    cr_expect_eq(fresh.for_report(now).count(), 0);
     cr_expect_not(fresh.told(now, view_with(milliseconds(50), seconds(5))));
     cr_expect(fresh.since() == now - seconds(5));
 }
--- a/test/model/direct_world.cpp
+++ b/test/model/direct_world.cpp
@@ -183,10 +183,10 @@
 }
 
 void direct_world::slow_engines(std::size_t first, std::size_t count,
-                                double slowness)
+                                double slowdown)
 {
     for (std::size_t i = first; i < first + count; ++i)
-        engines_[i]->set_slowdown(slowness);
+        engines_[i]->set_slowdown(slowdown);
 }
 
 void direct_world::forget_results()
--- a/test/model/direct_world.hpp
+++ b/test/model/direct_world.hpp
@@ -127,7 +127,7 @@
     /// Removes engines from the endpoint listing. Their open requests fail.
     void crash_engines(std::size_t first, std::size_t count);
     /// Multiplies the duration of the engines' steps.
-    void slow_engines(std::size_t first, std::size_t count, double slowness);
+    void slow_engines(std::size_t first, std::size_t count, double slowdown);
     /// Partitions the network: reports between routers below this index and the
     /// others are lost. Reports in transit are lost too.
     void cut_routers_at(std::size_t index) { partition_at_ = index; }
--- a/test/model/engine_model.cpp
+++ b/test/model/engine_model.cpp
@@ -139,7 +139,7 @@
     const double running_ms =
         parameters_.step_ms_per_running * static_cast<double>(batch_.size());
     now_ms_ += (parameters_.step_ms + running_ms + prefill_chunk()) *
-               parameters_.slowness;
+               parameters_.slowdown;
     for (auto it = batch_.begin(); it != batch_.end();)
     {
         if (it->prefill_left > 0)
--- a/test/model/engine_model.hpp
+++ b/test/model/engine_model.hpp
@@ -35,7 +35,7 @@
     /// Largest number of requests in the batch.
     unsigned slots = 64;
     /// Factor on the duration of all steps.
-    double slowness = 1;
+    double slowdown = 1;
 };
 
 /// A request as the engine receives it.
@@ -74,7 +74,7 @@
         double tokens);
     /// Runs steps until the time is reached. The last step may end after it.
     void run_until(double at_ms);
-    void set_slowdown(double slowness) { parameters_.slowness = slowness; }
+    void set_slowdown(double slowdown) { parameters_.slowdown = slowdown; }
 
     /// Number of requests that run or wait.
     [[nodiscard]] std::size_t open_requests() const
--- a/test/model/warming_fleet.hpp
+++ b/test/model/warming_fleet.hpp
@@ -244,7 +244,7 @@
         std::vector<std::string> targets = self.known.gossip_targets(now_);
         // An instance that knows no other one sends to the seeds.
         if (targets.empty())
-            targets = self.known.everyone();
+            targets = self.known.known_addresses();
         for (std::size_t to = 0; to < running_.size(); ++to)
         {
             const bool is_target = std::find(targets.begin(), targets.end(),
