--- a/packages/adapters/include/sycamorelock/adapters/direct/control_plane.hpp
+++ b/packages/adapters/include/sycamorelock/adapters/direct/control_plane.hpp
@@ -151,10 +151,10 @@
     std::uint64_t digest_ = 0;
     /// What each member last told of the endpoints that it knows.
     std::map<std::string, core::direct::store_view> member_views_;
-    core::direct::help_pace config_pace_;
+    core::direct::copy_limiter config_pace_;
     core::direct::cache_copies copies_;
-    core::direct::help_pace caches_pace_;
-    core::direct::help_pace streams_pace_;
+    core::direct::copy_limiter caches_pace_;
+    core::direct::copy_limiter streams_pace_;
     /// Starts of others to which the own streams were told once more.
     std::map<std::string, std::uint64_t> retold_to_;
     core::time_point next_gossip_;
--- a/packages/adapters/include/sycamorelock/adapters/direct/traffic_plane.hpp
+++ b/packages/adapters/include/sycamorelock/adapters/direct/traffic_plane.hpp
@@ -73,7 +73,7 @@
     void copy_streams(bool has_started,
                       std::function<void(core::direct::stream_copy)> done);
     /// Tells the others once more of the streams of this instance.
-    void retell_streams();
+    void requeue_stream_reports();
     void forget_instance(core::instance_id gone);
     void set_fleet_size(std::size_t instances);
     void set_retries(double ratio, double slack);
--- a/packages/adapters/lib/direct/control_plane.cpp
+++ b/packages/adapters/lib/direct/control_plane.cpp
@@ -122,7 +122,7 @@
         // Whoever was away has missed what was told meanwhile. In a large fleet
         // it asks for a copy.
         if (live > live_ && !peers_.large(at))
-            traffic_.retell_streams();
+            traffic_.requeue_stream_reports();
         live_ = live;
         traffic_.set_fleet_size(live + 1);
     }
@@ -174,7 +174,7 @@
     choose_reader(at, aggregator.empty());
     // What the one before was told last may have ended with it.
     if (aggregator != aggregator_)
-        traffic_.retell_streams();
+        traffic_.requeue_stream_reports();
     aggregator_ = aggregator;
     if (!aggregator.empty())
     {
@@ -194,7 +194,7 @@
         return;
     const core::direct::exchange_total total = tree_.total(at);
     if (aggregator.empty())
-        use_rest(tree_.rest_for(total, ""), domain_figures_);
+        use_rest(tree_.total_without(total, ""), domain_figures_);
     if (!tree_.aggregates(at))
         return;
     // Gossip asks a few already; all members would answer.
@@ -219,7 +219,7 @@
         const core::direct::store_view& known = member_views_[member];
         if (known.digest != view.digest && known.revision <= view.revision)
             other.store.endpoints = endpoints();
-        core::direct::exchange_sum rest = tree_.rest_for(total, member);
+        core::direct::exchange_sum rest = tree_.total_without(total, member);
         other.work = std::move(rest.work);
         other.demands = std::move(rest.demands);
         tell(at, other, {member});
--- a/packages/adapters/lib/direct/control_plane_endpoints.cpp
+++ b/packages/adapters/lib/direct/control_plane_endpoints.cpp
@@ -163,7 +163,7 @@
     core::direct::store_view view;
     view.revision = store_.revision();
     view.age = std::chrono::ceil<milliseconds>(at - store_.answered_at());
-    view.up = uptime_.for_report(at);
+    view.uptime = uptime_.for_report(at);
     view.digest = digest_;
     view.drains = drains_.for_report(at);
     return view;
--- a/packages/adapters/lib/direct/control_plane_help.cpp
+++ b/packages/adapters/lib/direct/control_plane_help.cpp
@@ -129,7 +129,7 @@
         !peers_.large(at))
     {
         retold = started.incarnation;
-        traffic_.retell_streams();
+        traffic_.requeue_stream_reports();
     }
     const bool asks = started.wants_streams || started.wants_releases;
     if (!asks || !is_drawn(at) || !streams_pace_.allow(at, started.sender))
@@ -161,13 +161,13 @@
 {
     // One that a cut has held up says nothing of what came since.
     if (!peers_.is_newest(copy))
-        copy.releases->watched_for = milliseconds(0);
+        copy.releases->observed_for = milliseconds(0);
     log_.write(
         direct_event::streams_learned,
         {{"peer", copy.sender},
          {"streams", std::to_string(copy.streams.size())},
          {"releases", std::to_string(copy.releases->seen.size())},
-         {"watched_ms", std::to_string(copy.releases->watched_for.count())}});
+         {"watched_ms", std::to_string(copy.releases->observed_for.count())}});
     traffic_.adopt_streams(
         {std::move(copy.streams), std::move(*copy.releases)});
 }
--- a/packages/adapters/lib/direct/traffic_plane.cpp
+++ b/packages/adapters/lib/direct/traffic_plane.cpp
@@ -396,10 +396,10 @@
                });
 }
 
-void traffic_plane::retell_streams()
+void traffic_plane::requeue_stream_reports()
 {
     asio::post(impl_->io(),
-               [impl = impl_] { impl->router().retell_streams(); });
+               [impl = impl_] { impl->router().requeue_stream_reports(); });
 }
 
 void traffic_plane::note_endpoints_current(core::time_point at)
--- a/packages/core/include/sycamorelock/core/direct/exchange.hpp
+++ b/packages/core/include/sycamorelock/core/direct/exchange.hpp
@@ -39,7 +39,7 @@
 };
 
 /// State of another instance as the sender of a report knows it.
-struct peer_sight
+struct peer_status
 {
     /// IP:port at which the instance receives reports.
     std::string address;
@@ -98,7 +98,7 @@
     milliseconds age{0};
     /// Time for which the store has responded without an outage to at least one
     /// of the instances from which the sender has received reports.
-    milliseconds up{0};
+    milliseconds uptime{0};
     /// Digest of all endpoint entries.
     std::uint64_t digest = 0;
     /// All endpoint entries; set only in a copy for an instance whose data is
@@ -118,7 +118,7 @@
     std::uint64_t incarnation = 0;
     std::uint64_t number = 0;
     bool leaving = false;
-    std::vector<peer_sight> peers;
+    std::vector<peer_status> peers;
     std::uint64_t config_version = 0;
     std::optional<config_copy> config;
     std::vector<endpoint_work> work;
--- a/packages/core/include/sycamorelock/core/direct/exchange_tree.hpp
+++ b/packages/core/include/sycamorelock/core/direct/exchange_tree.hpp
@@ -58,8 +58,8 @@
     [[nodiscard]] exchange_total total(time_point now) const;
     /// Returns the total without one member's own part.
     /// \param member name of the member; empty for this instance.
-    [[nodiscard]] exchange_sum rest_for(const exchange_total& total,
-                                        const std::string& member) const;
+    [[nodiscard]] exchange_sum total_without(const exchange_total& total,
+                                             const std::string& member) const;
 
   private:
     struct part
--- a/packages/core/include/sycamorelock/core/direct/help_pace.hpp
+++ b/packages/core/include/sycamorelock/core/direct/help_pace.hpp
@@ -10,7 +10,7 @@
 {
 
 /// Rate limiter for copies, per receiving instance.
-class help_pace
+class copy_limiter
 {
   public:
     /// Minimum interval between two copies to one instance. Within it the first
--- a/packages/core/include/sycamorelock/core/direct/note_relay.hpp
+++ b/packages/core/include/sycamorelock/core/direct/note_relay.hpp
@@ -19,7 +19,7 @@
 template <class Note, std::size_t Max> class relay
 {
   public:
-    static constexpr std::size_t most_notes = Max;
+    static constexpr std::size_t max_notes = Max;
 
     /// Adds notes of this instance's own requests.
     void add_own(std::vector<Note> notes);
@@ -64,7 +64,7 @@
 /// appears: 1,200 start per second and last some ten seconds.
 using stream_relay = relay<stream_note, 20'000>;
 
-extern template class relay<cache_note, note_relay::most_notes>;
-extern template class relay<stream_note, stream_relay::most_notes>;
+extern template class relay<cache_note, note_relay::max_notes>;
+extern template class relay<stream_note, stream_relay::max_notes>;
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/include/sycamorelock/core/direct/peers.hpp
+++ b/packages/core/include/sycamorelock/core/direct/peers.hpp
@@ -130,10 +130,10 @@
         return which.live && now - which.last_report_at < unreachable_after;
     }
     /// Takes over what another instance reported about a peer.
-    void merge_sighting(time_point now, const peer_sight& seen);
+    void merge_sighting(time_point now, const peer_status& seen);
     /// Records the newest own report that `from` has received, according to its
     /// entry for this instance.
-    void acknowledge(time_point now, peer& from, const peer_sight& own);
+    void acknowledge(time_point now, peer& from, const peer_status& own);
 
     std::string self_;
     domain_id domain_;
--- a/packages/core/include/sycamorelock/core/direct/release.hpp
+++ b/packages/core/include/sycamorelock/core/direct/release.hpp
@@ -39,9 +39,9 @@
                          std::string_view attempt);
 
 /// Maximum length in bytes of a stored version text.
-inline constexpr std::size_t most_version_bytes = 64;
+inline constexpr std::size_t max_version_bytes = 64;
 
-/// Returns the text unchanged if it fits `most_version_bytes`, otherwise its
+/// Returns the text unchanged if it fits `max_version_bytes`, otherwise its
 /// beginning followed by a digest of the whole text.
 std::string bounded_version(std::string_view version);
 
--- a/packages/core/include/sycamorelock/core/direct/router.hpp
+++ b/packages/core/include/sycamorelock/core/direct/router.hpp
@@ -270,7 +270,7 @@
     /// Sets the time up to which the endpoint listing is known to be correct.
     void set_endpoints_current(time_point now, time_point at)
     {
-        streams_.set_current(now, at);
+        streams_.set_listing_time(now, at);
     }
     /// Finds the service and release that may continue a stream.
     /// \param key key of the attempt that began the stream; empty if the
@@ -291,7 +291,7 @@
     /// Processes notes of streams from another instance.
     void on_streams(time_point now, std::span<const stream_note> received)
     {
-        streams_.hear(now, received);
+        streams_.add_remote(now, received);
     }
     /// Returns the known streams and releases for an instance that requests a
     /// copy; empty if this instance knows too little itself.
@@ -303,7 +303,7 @@
         return streams_.copy(now, has_started);
     }
     /// Queues the notes of this instance's streams for another transmission.
-    void retell_streams() { streams_.retell(); }
+    void requeue_stream_reports() { streams_.requeue_reports(); }
     /// Refuses to resume a stream whose release is unknown.
     refusal_decision refuse_unknown_release();
     /// Merges a copy of streams and releases from another instance.
--- a/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
@@ -62,7 +62,7 @@
     std::deque<revision_entry> revisions_;
     std::uint64_t digest_ = 0;
     time_point confirmed_at_;
-    help_pace pace_;
+    copy_limiter pace_;
 };
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/include/sycamorelock/core/direct/stream_releases.hpp
+++ b/packages/core/include/sycamorelock/core/direct/stream_releases.hpp
@@ -34,7 +34,7 @@
 };
 
 /// A release that has endpoints, or had some recently.
-struct release_sight
+struct known_release
 {
     service_id service;
     release_id release;
@@ -42,15 +42,15 @@
     /// listed now.
     milliseconds age{0};
 
-    bool operator==(const release_sight&) const = default;
+    bool operator==(const known_release&) const = default;
 };
 
 /// Releases that may have started streams.
 struct release_history
 {
-    std::vector<release_sight> seen;
+    std::vector<known_release> seen;
     /// Time up to now for which the list is complete.
-    milliseconds watched_for{0};
+    milliseconds observed_for{0};
 
     bool operator==(const release_history&) const = default;
 };
@@ -115,7 +115,7 @@
     /// Sets the maximum duration of a stream. A stream that breaks at its end
     /// may be resumed for the same time again, so streams are remembered for
     /// twice this time, within `min_retention` and `max_retention`.
-    void set_longest(milliseconds timeout);
+    void set_max_stream_duration(milliseconds timeout);
     [[nodiscard]] duration retention() const { return retention_; }
 
     /// Sets the releases of which endpoints are listed now, by service.
@@ -124,10 +124,10 @@
     /// Sets the time at which the listing was last known to be correct. Must be
     /// called more often than `max_listing_age`: a larger step of this time is
     /// treated as a gap in which a release may have been missed.
-    void set_current(time_point now, time_point at);
+    void set_listing_time(time_point now, time_point at);
     /// Records that a route was changed to lead to this service, so that
     /// streams of the route may have been started by another service.
-    void note_moved(time_point now, service_id service);
+    void note_route_moved(time_point now, service_id service);
     /// Sets the services that share a route with others. The route does not
     /// determine which of them started a stream.
     void set_shared(std::set<service_id> services);
@@ -143,16 +143,16 @@
     /// Records that the caller has received the whole stream.
     void end(time_point now, stream_key key);
     /// Adds streams that other instances have reported.
-    void hear(time_point now, std::span<const stream_note> remote);
+    void add_remote(time_point now, std::span<const stream_note> remote);
 
-    struct finding
+    struct stream_origin
     {
         stream_source source = stream_source::unknown;
         service_id service;
         release_id release;
     };
     /// Looks up a stream that this instance sent or another one reported.
-    [[nodiscard]] finding find(time_point now, stream_key key) const;
+    [[nodiscard]] stream_origin find(time_point now, stream_key key) const;
     /// Returns the release of a service's streams if only one can have started
     /// them.
     [[nodiscard]] std::optional<release_id> sole(time_point now,
@@ -160,14 +160,14 @@
 
     /// Whether other instances may need a report to determine the release of a
     /// service's streams.
-    [[nodiscard]] bool must_tell(time_point now, service_id service) const;
+    [[nodiscard]] bool must_report(time_point now, service_id service) const;
     /// Returns the streams that must be reported now and removes them from the
     /// queue. Also removes expired streams and releases.
-    [[nodiscard]] std::vector<stream_note> take_untold(time_point now);
+    [[nodiscard]] std::vector<stream_note> take_unreported(time_point now);
 
     /// Queues all own streams again, for an instance that has joined and has
     /// not received earlier reports.
-    void retell();
+    void requeue_reports();
 
     /// Whether this instance has just started and lacks the streams that others
     /// reported before.
--- a/packages/core/lib/direct/exchange_tree.cpp
+++ b/packages/core/lib/direct/exchange_tree.cpp
@@ -123,8 +123,8 @@
     }
 }
 
-exchange_sum exchange_tree::rest_for(const exchange_total& total,
-                                     const std::string& member) const
+exchange_sum exchange_tree::total_without(const exchange_total& total,
+                                          const std::string& member) const
 {
     return total.without(member.empty() ? own_.sum : members_.at(member).sum);
 }
--- a/packages/core/lib/direct/note_relay.cpp
+++ b/packages/core/lib/direct/note_relay.cpp
@@ -65,7 +65,7 @@
     return take(all_);
 }
 
-template class relay<cache_note, note_relay::most_notes>;
-template class relay<stream_note, stream_relay::most_notes>;
+template class relay<cache_note, note_relay::max_notes>;
+template class relay<stream_note, stream_relay::max_notes>;
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/lib/direct/peers.cpp
+++ b/packages/core/lib/direct/peers.cpp
@@ -46,7 +46,7 @@
     from.leaving = report.leaving;
     from.last_report_at = now;
     from.live = true;
-    for (const peer_sight& seen : report.peers)
+    for (const peer_status& seen : report.peers)
     {
         if (seen.address == self_)
             acknowledge(now, from, seen);
@@ -62,7 +62,7 @@
     return known == peers_.end() || report.number >= known->second.number;
 }
 
-void peers::acknowledge(time_point now, peer& from, const peer_sight& own)
+void peers::acknowledge(time_point now, peer& from, const peer_status& own)
 {
     if (own.incarnation != incarnation_ || own.heard <= from.acknowledged)
         return;
@@ -70,7 +70,7 @@
     from.acknowledged_at = now;
 }
 
-void peers::merge_sighting(time_point now, const peer_sight& seen)
+void peers::merge_sighting(time_point now, const peer_status& seen)
 {
     const auto [position, inserted] = peers_.try_emplace(seen.address);
     peer& known = position->second;
--- a/packages/core/lib/direct/release.cpp
+++ b/packages/core/lib/direct/release.cpp
@@ -44,12 +44,12 @@
 
 std::string bounded_version(std::string_view version)
 {
-    if (version.size() <= most_version_bytes)
+    if (version.size() <= max_version_bytes)
         return std::string(version);
     std::array<char, 2 * sizeof(std::uint64_t) + 2> digest{};
     std::snprintf(digest.data(), digest.size(), "#%016llx",
                   static_cast<unsigned long long>(digest_of(version)));
-    const std::size_t prefix_bytes = most_version_bytes + 1 - digest.size();
+    const std::size_t prefix_bytes = max_version_bytes + 1 - digest.size();
     return std::string(version.substr(0, prefix_bytes)) + digest.data();
 }
 
--- a/packages/core/lib/direct/router.cpp
+++ b/packages/core/lib/direct/router.cpp
@@ -517,7 +517,7 @@
     report.notes = std::move(unsent_cache_notes_);
     unsent_cache_notes_.clear();
     report.demands = account_shares_.own(now);
-    report.streams = streams_.take_untold(now);
+    report.streams = streams_.take_unreported(now);
     report.wants_streams = streams_.wants_streams(now);
     report.wants_releases = streams_.wants_releases(now);
     report.warming.clear();
--- a/packages/core/lib/direct/router_streams.cpp
+++ b/packages/core/lib/direct/router_streams.cpp
@@ -45,10 +45,10 @@
             if (new_route.targets.size() > 1)
                 shared.insert(target.service);
             if (old_route != nullptr && !leads_to(*old_route, target.service))
-                streams_.note_moved(now, target.service);
+                streams_.note_route_moved(now, target.service);
         }
     }
-    streams_.set_longest(longest);
+    streams_.set_max_stream_duration(longest);
     streams_.set_shared(std::move(shared));
 }
 
@@ -57,7 +57,7 @@
 {
     if (key)
     {
-        const stream_releases::finding known = streams_.find(now, *key);
+        const stream_releases::stream_origin known = streams_.find(now, *key);
         if (known.source != stream_source::unknown)
             return leads_to(request_route, known.service)
                        ? stream_resolution{known.source, known.service,
@@ -83,7 +83,7 @@
     // Large fleets send no urgent report: their reports are frequent, and each
     // is forwarded by other instances.
     const bool others_need_note =
-        !large_fleet_ && streams_.must_tell(now, placement.endpoint.service);
+        !large_fleet_ && streams_.must_report(now, placement.endpoint.service);
     report_is_urgent_ =
         report_is_urgent_ || replaces_known_release || others_need_note;
 }
--- a/packages/core/lib/direct/store_uptime.cpp
+++ b/packages/core/lib/direct/store_uptime.cpp
@@ -8,8 +8,8 @@
 
 bool store_uptime::told(time_point now, const store_view& view)
 {
-    const bool has_span = view.revision > 0 && view.up >= view.age;
-    return has_span && add_span(now - view.up, now - view.age);
+    const bool has_span = view.revision > 0 && view.uptime >= view.age;
+    return has_span && add_span(now - view.uptime, now - view.age);
 }
 
 bool store_uptime::add_span(time_point from, time_point to)
--- a/packages/core/lib/direct/stream_releases.cpp
+++ b/packages/core/lib/direct/stream_releases.cpp
@@ -61,7 +61,7 @@
     return dropped;
 }
 
-void stream_releases::set_longest(milliseconds timeout)
+void stream_releases::set_max_stream_duration(milliseconds timeout)
 {
     retention_ = std::clamp<duration>(2 * duration(timeout), min_retention,
                                       max_retention);
@@ -100,7 +100,7 @@
     }
 }
 
-void stream_releases::set_current(time_point now, time_point at)
+void stream_releases::set_listing_time(time_point now, time_point at)
 {
     if (!started_)
         started_ = now;
@@ -118,7 +118,7 @@
     listing_time_ = at;
 }
 
-void stream_releases::note_moved(time_point now, service_id service)
+void stream_releases::note_route_moved(time_point now, service_id service)
 {
     services_[service].route_moved_at = now;
 }
@@ -188,7 +188,8 @@
     stored.attempt = std::max(stored.attempt, remote.attempt);
 }
 
-void stream_releases::hear(time_point now, std::span<const stream_note> remote)
+void stream_releases::add_remote(time_point now,
+                                 std::span<const stream_note> remote)
 {
     for (const stream_note& each : remote)
     {
@@ -204,8 +205,8 @@
     dropped_ += remote_.evict(now - retention_, max_remote_streams);
 }
 
-stream_releases::finding stream_releases::find(time_point now,
-                                               stream_key key) const
+stream_releases::stream_origin stream_releases::find(time_point now,
+                                                     stream_key key) const
 {
     const auto unexpired = [&](const entry* stream)
     {
@@ -227,7 +228,7 @@
                                                 service_id service) const
 {
     const auto found = services_.find(service);
-    if (found == services_.end() || must_tell(now, service))
+    if (found == services_.end() || must_report(now, service))
         return std::nullopt;
     for (const auto& [release, last] : found->second.last_listed)
     {
@@ -237,7 +238,7 @@
     return std::nullopt;
 }
 
-bool stream_releases::must_tell(time_point now, service_id service) const
+bool stream_releases::must_report(time_point now, service_id service) const
 {
     const auto found = services_.find(service);
     if (!knows_all_releases(now) || shared_.contains(service) ||
@@ -259,10 +260,10 @@
     return !knows_all_releases(now) ||
            std::any_of(services_.begin(), services_.end(),
                        [&](const auto& each)
-                       { return must_tell(now, each.first); });
+                       { return must_report(now, each.first); });
 }
 
-std::vector<stream_note> stream_releases::take_untold(time_point now)
+std::vector<stream_note> stream_releases::take_unreported(time_point now)
 {
     remove_expired(now);
     std::vector<stream_note> result;
@@ -288,12 +289,12 @@
     const bool is_expired =
         sent.ended_at && now - *sent.ended_at > resume_grace_period;
     const bool due =
-        sent.is_queued && !is_expired && must_tell(now, sent.service);
+        sent.is_queued && !is_expired && must_report(now, sent.service);
     sent.is_queued = sent.is_queued && !is_expired && !due;
     return due;
 }
 
-void stream_releases::retell()
+void stream_releases::requeue_reports()
 {
     for (auto& [key, sent] : own_.known)
         queue_report(key, sent);
@@ -345,7 +346,7 @@
         }
     }
     if (is_listing_current(now) && observed_since_)
-        result.releases.watched_for =
+        result.releases.observed_for =
             std::chrono::floor<milliseconds>(now - *observed_since_);
     return result;
 }
@@ -356,15 +357,15 @@
     for (const stream_note& each : known.streams)
         store_remote(now, each);
     dropped_ += remote_.evict(now - retention_, max_remote_streams);
-    for (const release_sight& each : known.releases.seen)
+    for (const known_release& each : known.releases.seen)
         record_release(now - each.age, each.service, each.release);
     // Without a current endpoint listing this instance may lack a release that
     // was added after the copy was made.
     if (!observed_since_ || !is_listing_current(now))
         return;
     observed_since_ = std::min<time_point>(*observed_since_,
-                                           now - known.releases.watched_for);
-    has_release_copy_ = known.releases.watched_for >= min_observation_time;
+                                           now - known.releases.observed_for);
+    has_release_copy_ = known.releases.observed_for >= min_observation_time;
 }
 
 void stream_releases::remove_expired(time_point now)
--- a/packages/core/unittests/direct_fleet_test.cpp
+++ b/packages/core/unittests/direct_fleet_test.cpp
@@ -293,12 +293,14 @@
     cr_expect(tree.aggregates(start));
     cr_expect_float_eq(tree.domain_sum(start).work.at(0).unread_ms, 111, 1e-9);
     cr_expect_float_eq(
-        tree.rest_for(tree.total(start), "m1").work.at(0).unread_ms, 1101,
+        tree.total_without(tree.total(start), "m1").work.at(0).unread_ms, 1101,
         1e-9);
     cr_expect_float_eq(
-        tree.rest_for(tree.total(start), "").work.at(0).unread_ms, 1110, 1e-9);
+        tree.total_without(tree.total(start), "").work.at(0).unread_ms, 1110,
+        1e-9);
     cr_expect_float_eq(
-        tree.rest_for(tree.total(start), "m2").demands.at(0).asked, 1011, 1e-9);
+        tree.total_without(tree.total(start), "m2").demands.at(0).asked, 1011,
+        1e-9);
 }
 
 Test(direct_tree, silent_members_and_domains_are_excluded_from_the_sum)
@@ -310,6 +312,7 @@
     const time_point later = start + seconds(2);
     tree.on_member(later, "m2", sum_with_work(100));
     cr_expect_float_eq(
-        tree.rest_for(tree.total(later), "").work.at(0).unread_ms, 100, 1e-9);
+        tree.total_without(tree.total(later), "").work.at(0).unread_ms, 100,
+        1e-9);
     cr_expect_eq(tree.members(later).size(), 1U);
 }
--- a/packages/core/unittests/direct_parts_test.cpp
+++ b/packages/core/unittests/direct_parts_test.cpp
@@ -322,7 +322,7 @@
     const cache_note note{endpoint_id::of("e"), {{1, 10}}};
     for (int i = 0; i < 10; ++i)
         relay.add_domain(std::vector<cache_note>(1000, note));
-    cr_expect_eq(relay.take_all().size(), note_relay::most_notes);
+    cr_expect_eq(relay.take_all().size(), note_relay::max_notes);
 }
 
 Test(direct_delay, a_late_or_blocked_event_loop_is_detected)
--- a/packages/core/unittests/direct_releases_test.cpp
+++ b/packages/core/unittests/direct_releases_test.cpp
@@ -42,7 +42,7 @@
 
     explicit instance_state(time_point started = start) : now(started)
     {
-        streams.set_longest(seconds(5));
+        streams.set_max_stream_duration(seconds(5));
         set_listed({first});
     }
 
@@ -55,7 +55,7 @@
     void confirm_listing()
     {
         if (!is_partitioned)
-            streams.set_current(now, now - milliseconds(300));
+            streams.set_listing_time(now, now - milliseconds(300));
     }
 
     void advance(duration time)
@@ -100,8 +100,8 @@
     /// reported streams.
     std::size_t deliver_reports()
     {
-        const auto reports = one.streams.take_untold(one.now);
-        other.streams.hear(other.now, reports);
+        const auto reports = one.streams.take_unreported(one.now);
+        other.streams.add_remote(other.now, reports);
         return reports.size();
     }
 };
@@ -129,7 +129,7 @@
 {
     two_instances fix;
     fix.one.streams.note(fix.one.now, sent_to(first, "a"));
-    cr_expect_not(fix.one.streams.must_tell(fix.one.now, drafts));
+    cr_expect_not(fix.one.streams.must_report(fix.one.now, drafts));
     cr_expect_eq(fix.deliver_reports(), 0U);
     cr_expect(fix.other.source_of("a") == stream_source::unknown);
     const auto sole = fix.other.streams.sole(fix.other.now, drafts);
@@ -143,7 +143,7 @@
 {
     instance_state started;
     cr_expect_not(started.streams.sole(started.now, drafts).has_value());
-    cr_expect(started.streams.must_tell(started.now, drafts));
+    cr_expect(started.streams.must_report(started.now, drafts));
     started.advance(stream_releases::min_retention);
     cr_expect_not(started.streams.sole(started.now, drafts).has_value());
     started.advance(observation_time);
@@ -195,7 +195,7 @@
         fix.one.streams.retention() + stream_releases::listing_skew;
     fix.advance(remembered - seconds(1));
     cr_expect_not(fix.one.streams.sole(fix.one.now, drafts).has_value());
-    cr_expect(fix.one.streams.must_tell(fix.one.now, drafts));
+    cr_expect(fix.one.streams.must_report(fix.one.now, drafts));
     fix.advance(seconds(2));
     cr_expect(fix.one.streams.sole(fix.one.now, drafts).has_value());
 }
@@ -226,8 +226,8 @@
     fix.one.is_partitioned = true;
     fix.one.advance(stream_releases::max_listing_age + milliseconds(100));
     cr_expect_not(fix.one.streams.sole(fix.one.now, drafts).has_value());
-    cr_expect(fix.one.streams.must_tell(fix.one.now, drafts));
-    cr_expect_eq(fix.one.streams.take_untold(fix.one.now).size(), 1U);
+    cr_expect(fix.one.streams.must_report(fix.one.now, drafts));
+    cr_expect_eq(fix.one.streams.take_unreported(fix.one.now).size(), 1U);
 }
 
 // Guards against an assumed release at an instance whose last endpoint listing
@@ -304,7 +304,7 @@
     started.streams.adopt(started.now,
                           *fix.other.streams.copy(fix.other.now, true));
     cr_expect(started.streams.sole(started.now, drafts).has_value());
-    cr_expect_not(started.streams.must_tell(started.now, drafts));
+    cr_expect_not(started.streams.must_report(started.now, drafts));
 }
 
 // Guards against an assumed release based on a copy alone: without a current
@@ -313,11 +313,11 @@
 {
     two_instances fix;
     stream_releases started;
-    started.set_longest(seconds(5));
-    started.set_current(fix.other.now, time_point());
+    started.set_max_stream_duration(seconds(5));
+    started.set_listing_time(fix.other.now, time_point());
     started.adopt(fix.other.now, *fix.other.streams.copy(fix.other.now, true));
     cr_expect_not(started.sole(fix.other.now, drafts).has_value());
-    started.set_current(fix.other.now, fix.other.now);
+    started.set_listing_time(fix.other.now, fix.other.now);
     cr_expect(started.wants_releases(fix.other.now));
 }
 
@@ -407,9 +407,9 @@
     for (std::size_t i = 0; i < instances; ++i)
     {
         all[i].streams.note(all[i].now, sent[i]);
-        const auto reports = all[i].streams.take_untold(all[i].now);
+        const auto reports = all[i].streams.take_unreported(all[i].now);
         for (instance_state& each : all)
-            each.streams.hear(each.now, reports);
+            each.streams.add_remote(each.now, reports);
     }
     const auto copy = all.back().streams.copy(all.back().now, true);
     cr_assert(copy.has_value());
@@ -438,12 +438,12 @@
     two_instances fix;
     fix.set_listed({first, second});
     cr_expect_not(fix.one.streams.note(fix.one.now, sent_to(first, "a", 1)));
-    const auto before = fix.one.streams.take_untold(fix.one.now);
+    const auto before = fix.one.streams.take_unreported(fix.one.now);
     cr_expect(fix.one.streams.note(fix.one.now, sent_to(second, "a", 2)));
-    const auto after = fix.one.streams.take_untold(fix.one.now);
+    const auto after = fix.one.streams.take_unreported(fix.one.now);
     cr_assert_eq(after.size(), 1U);
-    fix.other.streams.hear(fix.other.now, after);
-    fix.other.streams.hear(fix.other.now, before);
+    fix.other.streams.add_remote(fix.other.now, after);
+    fix.other.streams.add_remote(fix.other.now, before);
     cr_expect(fix.other.release_of_stream("a") == second);
     cr_expect(fix.one.release_of_stream("a") == second);
 }
@@ -455,11 +455,11 @@
     two_instances fix;
     fix.set_listed({first, second});
     fix.one.streams.note(fix.one.now, sent_to(first, "a", 1));
-    const auto before = fix.one.streams.take_untold(fix.one.now);
+    const auto before = fix.one.streams.take_unreported(fix.one.now);
     fix.one.streams.note(fix.one.now, sent_to(second, "a", 1));
-    const auto after = fix.one.streams.take_untold(fix.one.now);
-    fix.other.streams.hear(fix.other.now, after);
-    fix.other.streams.hear(fix.other.now, before);
+    const auto after = fix.one.streams.take_unreported(fix.one.now);
+    fix.other.streams.add_remote(fix.other.now, after);
+    fix.other.streams.add_remote(fix.other.now, before);
     cr_expect(fix.other.release_of_stream("a") == second);
 }
 
@@ -472,9 +472,9 @@
     fix.one.streams.note(fix.one.now, sent_to(second, "a"));
     fix.one.streams.note(fix.one.now, sent_to(second, "done"));
     fix.one.streams.end(fix.one.now, key_of("done"));
-    cr_assert_eq(fix.one.streams.take_untold(fix.one.now).size(), 2U);
+    cr_assert_eq(fix.one.streams.take_unreported(fix.one.now).size(), 2U);
     fix.advance(stream_releases::resume_grace_period + milliseconds(100));
-    fix.one.streams.retell();
+    fix.one.streams.requeue_reports();
     cr_expect_eq(fix.deliver_reports(), 1U);
     cr_expect(fix.other.release_of_stream("a") == second);
 }
@@ -486,8 +486,8 @@
     two_instances fix;
     fix.set_listed({first, second});
     fix.other.streams.note(fix.other.now, sent_to(second, "a", 2));
-    fix.one.streams.hear(fix.one.now,
-                         fix.other.streams.take_untold(fix.other.now));
+    fix.one.streams.add_remote(
+        fix.one.now, fix.other.streams.take_unreported(fix.other.now));
     fix.advance(seconds(8));
     fix.one.streams.note_resumed(fix.one.now, key_of("a"), drafts, second);
     cr_expect_eq(fix.deliver_reports(), 1U);
@@ -496,7 +496,8 @@
     cr_expect(fix.other.release_of_stream("a") == second);
     instance_state third(fix.one.now);
     fix.one.streams.note_resumed(fix.one.now, key_of("a"), drafts, second);
-    third.streams.hear(third.now, fix.one.streams.take_untold(fix.one.now));
+    third.streams.add_remote(third.now,
+                             fix.one.streams.take_unreported(fix.one.now));
     cr_expect(third.release_of_stream("a") == second);
 }
 
@@ -510,7 +511,7 @@
     fix.one.streams.note_resumed(fix.one.now, key_of("a"), drafts, first);
     cr_expect(fix.one.release_of_stream("a") == second);
     const stream_note outdated = sent_to(first, "a", 0);
-    fix.other.streams.hear(fix.other.now, {&outdated, 1});
+    fix.other.streams.add_remote(fix.other.now, {&outdated, 1});
     cr_expect(fix.other.release_of_stream("a") == second);
 }
 
@@ -521,9 +522,9 @@
     two_instances fix;
     cr_assert(fix.other.streams.sole(fix.other.now, drafts).has_value());
     const stream_note report = sent_to(second, "a");
-    fix.other.streams.hear(fix.other.now, {&report, 1});
+    fix.other.streams.add_remote(fix.other.now, {&report, 1});
     cr_expect_not(fix.other.streams.sole(fix.other.now, drafts).has_value());
-    cr_expect(fix.other.streams.must_tell(fix.other.now, drafts));
+    cr_expect(fix.other.streams.must_report(fix.other.now, drafts));
 }
 
 // Guards against an assumed release for a stream that was started by another
@@ -531,13 +532,13 @@
 Test(direct_releases, after_a_route_change_no_release_is_assumed)
 {
     two_instances fix;
-    fix.one.streams.note_moved(fix.one.now, drafts);
+    fix.one.streams.note_route_moved(fix.one.now, drafts);
     cr_expect_not(fix.one.streams.sole(fix.one.now, drafts).has_value());
-    cr_expect(fix.one.streams.must_tell(fix.one.now, drafts));
+    cr_expect(fix.one.streams.must_report(fix.one.now, drafts));
     fix.advance(observation_time);
     cr_expect(fix.one.streams.sole(fix.one.now, drafts).has_value());
     fix.one.streams.set_shared({drafts});
-    cr_expect(fix.one.streams.must_tell(fix.one.now, drafts));
+    cr_expect(fix.one.streams.must_report(fix.one.now, drafts));
 }
 
 Test(direct_releases, a_stream_expires_after_the_retention_time)
@@ -552,7 +553,7 @@
     cr_expect(fix.one.source_of("a") == stream_source::unknown);
     cr_expect(fix.other.source_of("a") == stream_source::unknown);
     fix.deliver_reports();
-    fix.other.streams.hear(fix.other.now, {});
+    fix.other.streams.add_remote(fix.other.now, {});
     cr_expect_eq(fix.one.streams.kept(), 0U);
     cr_expect_eq(fix.other.streams.kept(), 0U);
     cr_expect_eq(fix.other.streams.dropped(), 0U);
@@ -561,11 +562,11 @@
 Test(direct_releases, the_longest_stream_determines_the_retention_time)
 {
     stream_releases streams;
-    streams.set_longest(seconds(1));
+    streams.set_max_stream_duration(seconds(1));
     cr_expect(streams.retention() == stream_releases::min_retention);
-    streams.set_longest(seconds(20));
+    streams.set_max_stream_duration(seconds(20));
     cr_expect(streams.retention() == seconds(40));
-    streams.set_longest(seconds(1000));
+    streams.set_max_stream_duration(seconds(1000));
     cr_expect(streams.retention() == stream_releases::max_retention);
 }
 
@@ -585,7 +586,7 @@
         if (i < stream_releases::max_own_streams + excess)
             fix.one.streams.note(fix.one.now, reports.back());
     }
-    fix.other.streams.hear(fix.other.now, reports);
+    fix.other.streams.add_remote(fix.other.now, reports);
     cr_expect_eq(fix.other.streams.kept(), stream_releases::max_remote_streams);
     cr_expect_eq(fix.other.streams.dropped(), excess);
     cr_expect(
@@ -594,7 +595,7 @@
     cr_expect(
         fix.other.streams.find(fix.other.now, stream_key(excess + 1)).source ==
         stream_source::reported);
-    cr_expect_eq(fix.one.streams.take_untold(fix.one.now).size(),
+    cr_expect_eq(fix.one.streams.take_unreported(fix.one.now).size(),
                  stream_releases::max_own_streams);
     cr_expect_eq(fix.one.streams.dropped(), excess);
     const auto copy = fix.other.streams.copy(fix.other.now, true);
@@ -612,11 +613,11 @@
         fix.one.confirm_listing();
         fix.one.streams.note_resumed(fix.one.now, key_of("a"), drafts, first);
         if (i % 100 == 0)
-            cr_assert(fix.one.streams.take_untold(fix.one.now).empty());
+            cr_assert(fix.one.streams.take_unreported(fix.one.now).empty());
     }
     cr_expect_eq(fix.one.streams.kept(), 1U);
     fix.one.set_listed({first, second});
-    cr_expect_eq(fix.one.streams.take_untold(fix.one.now).size(), 1U);
+    cr_expect_eq(fix.one.streams.take_unreported(fix.one.now).size(), 1U);
 }
 
 // Guards against an assumed release after so many releases that one was dropped
@@ -651,11 +652,11 @@
 
 Test(direct_releases, long_versions_are_truncated_and_remain_distinct)
 {
-    const std::string exact(most_version_bytes, 'x');
+    const std::string exact(max_version_bytes, 'x');
     cr_expect(bounded_version(exact) == exact);
     const std::string one = bounded_version(exact + "1");
     const std::string two = bounded_version(exact + "2");
-    cr_expect_eq(one.size(), most_version_bytes);
-    cr_expect_eq(two.size(), most_version_bytes);
+    cr_expect_eq(one.size(), max_version_bytes);
+    cr_expect_eq(two.size(), max_version_bytes);
     cr_expect(one != two);
 }
--- a/packages/core/unittests/direct_store_test.cpp
+++ b/packages/core/unittests/direct_store_test.cpp
@@ -294,12 +294,12 @@
 namespace
 {
 
-store_view view_with(milliseconds age, milliseconds up)
+store_view view_with(milliseconds age, milliseconds uptime)
 {
     store_view reported;
     reported.revision = 7;
     reported.age = age;
-    reported.up = up;
+    reported.uptime = uptime;
     return reported;
 }
 
--- a/packages/wire/lib/exchange_codec.cpp
+++ b/packages/wire/lib/exchange_codec.cpp
@@ -111,7 +111,7 @@
 {
     out.set_revision(view.revision);
     out.set_age_ms(static_cast<std::uint32_t>(view.age.count()));
-    out.set_up_ms(static_cast<std::uint32_t>(view.up.count()));
+    out.set_up_ms(static_cast<std::uint32_t>(view.uptime.count()));
     out.set_digest(view.digest);
     out.set_complete(view.endpoints.has_value());
     for (const direct::domain_drain& drain : view.drains)
@@ -145,7 +145,7 @@
     direct::store_view view;
     view.revision = item.revision();
     view.age = std::chrono::milliseconds(item.age_ms());
-    view.up = std::chrono::milliseconds(item.up_ms());
+    view.uptime = std::chrono::milliseconds(item.up_ms());
     view.digest = item.digest();
     for (const pb::DomainDrain& drain : item.drains())
         view.drains.push_back({core::domain_id(drain.domain()),
@@ -156,7 +156,7 @@
     std::vector<direct::endpoint_record>& all = view.endpoints.emplace();
     for (const pb::EndpointEntry& entry : item.endpoints())
     {
-        if (entry.version().size() > direct::most_version_bytes)
+        if (entry.version().size() > direct::max_version_bytes)
             throw decode_error("a version is too long");
         all.push_back({entry.boot(), core::service_id(entry.service()),
                        entry.address(), core::domain_id(entry.domain()),
@@ -193,8 +193,8 @@
     if (!report.releases)
         return;
     pb::ReleaseHistory& history = *out.mutable_releases();
-    history.set_watched_ms(ms_of(report.releases->watched_for));
-    for (const direct::release_sight& sight : report.releases->seen)
+    history.set_watched_ms(ms_of(report.releases->observed_for));
+    for (const direct::known_release& sight : report.releases->seen)
     {
         pb::ReleaseSight& item = *history.add_seen();
         item.set_service(sight.service.value());
@@ -218,7 +218,7 @@
     if (!message.has_releases())
         return;
     direct::release_history& history = report.releases.emplace();
-    history.watched_for =
+    history.observed_for =
         std::chrono::milliseconds(message.releases().watched_ms());
     for (const pb::ReleaseSight& item : message.releases().seen())
         history.seen.push_back({core::service_id(item.service()),
@@ -264,7 +264,7 @@
     out.set_part(static_cast<std::uint32_t>(report.part));
     out.set_config_version(report.config_version);
     out.set_wants_caches(report.wants_caches);
-    for (const direct::peer_sight& peer : report.peers)
+    for (const direct::peer_status& peer : report.peers)
     {
         pb::PeerSight& item = *out.add_peers();
         item.set_address(peer.address);
--- a/packages/wire/unittests/exchange_codec_test.cpp
+++ b/packages/wire/unittests/exchange_codec_test.cpp
@@ -125,7 +125,7 @@
     cr_expect_eq(got.warming[0].left.count(), 1800);
     cr_expect_eq(got.store.endpoints->at(0).warmup_left.count(), 2500);
     cr_expect_eq(got.store.age.count(), 40);
-    cr_expect_eq(got.store.up.count(), 60);
+    cr_expect_eq(got.store.uptime.count(), 60);
     cr_expect_eq(got.store.digest, 99U);
     cr_assert(got.store.endpoints.has_value());
     const core::direct::endpoint_record& endpoint = got.store.endpoints->at(0);
@@ -178,11 +178,11 @@
                     wire::decode_error);
     auto report = full_report();
     report.store.endpoints->at(0).version =
-        std::string(core::direct::most_version_bytes + 1, 'v');
+        std::string(core::direct::max_version_bytes + 1, 'v');
     cr_expect_throw(back_and_forth(report), wire::decode_error);
     report.store.endpoints->at(0).version.pop_back();
     cr_expect_eq(back_and_forth(report).store.endpoints->at(0).version.size(),
-                 core::direct::most_version_bytes);
+                 core::direct::max_version_bytes);
     report = full_report();
     report.releases->seen.assign(most + 1, {});
     cr_expect_throw(back_and_forth(report), wire::decode_error);
--- a/packages/wire/unittests/stream_news_test.cpp
+++ b/packages/wire/unittests/stream_news_test.cpp
@@ -75,7 +75,7 @@
         for (std::size_t i = 0; i < of.instances; ++i)
         {
             all_.push_back(std::make_unique<instance>());
-            all_.back()->streams.set_longest(seconds(10));
+            all_.back()->streams.set_max_stream_duration(seconds(10));
             all_.back()->streams.set_listed(
                 start, {{drafts, {releases.begin(), releases.end()}}});
             std::uniform_int_distribution<milliseconds::rep> phase(
@@ -177,7 +177,7 @@
                 continue;
             }
             instance& to = *all_[each.to];
-            to.streams.hear(now_, each.streams);
+            to.streams.add_remote(now_, each.streams);
             if (each.part == report_part::member)
                 to.relay.add_member(each.streams);
             if (each.part == report_part::domain)
@@ -192,7 +192,7 @@
         if (from.is_down || now_ < from.next_report)
             return;
         from.next_report += plan_.report_period;
-        std::vector<stream_note> own = from.streams.take_untold(now_);
+        std::vector<stream_note> own = from.streams.take_unreported(now_);
         if (plan_.is_mesh)
         {
             const std::size_t bytes = bytes_of(own);
@@ -344,18 +344,18 @@
     stream_relay relay;
     constexpr std::size_t excess = 10;
     std::vector<stream_note> news;
-    for (std::size_t i = 0; i < stream_relay::most_notes + excess; ++i)
+    for (std::size_t i = 0; i < stream_relay::max_notes + excess; ++i)
         news.push_back({stream_key(i), drafts, releases.front(), 1});
     relay.add_domain(news);
     cr_expect_eq(relay.dropped(), 0U);
     const auto told = relay.take_all();
-    cr_expect_eq(told.size(), stream_relay::most_notes);
+    cr_expect_eq(told.size(), stream_relay::max_notes);
     cr_expect(told.front().key == stream_key(excess));
     cr_expect_eq(relay.dropped(), excess);
     cr_expect(relay.take_all().empty());
     cr_expect_eq(relay.dropped(), excess);
     relay.add_own(news);
-    cr_expect_eq(relay.take_own().size(), stream_relay::most_notes);
+    cr_expect_eq(relay.take_own().size(), stream_relay::max_notes);
     cr_expect_eq(relay.dropped(), 2 * excess);
 }
 
