--- a/packages/core/include/sycamorelock/core/direct/account_shares.hpp
+++ b/packages/core/include/sycamorelock/core/direct/account_shares.hpp
@@ -65,10 +65,10 @@
     /// to the account's share.
     /// \param throughput tokens per second that operators configure; 0 if
     /// none are configured.
-    account_standing ask(time_point now, account_id account, double tokens,
-                         double throughput);
+    account_standing record_demand(time_point now, account_id account,
+                                   double tokens, double throughput);
     /// Records that a request was sent to an endpoint.
-    void serve(time_point now, account_id account, double tokens);
+    void record_sent(time_point now, account_id account, double tokens);
 
     /// Merges the report of an instance, or of an aggregator that sums those of
     /// several instances. An average cannot fall faster than its exponential
--- a/packages/core/include/sycamorelock/core/direct/catalogue.hpp
+++ b/packages/core/include/sycamorelock/core/direct/catalogue.hpp
@@ -74,7 +74,7 @@
     /// Connections that one endpoint accepts from all instances together.
     unsigned max_connections = 0;
     /// Capacity of an engine's KV cache in tokens; zero for a plain service.
-    double memory_tokens = 0;
+    double kv_capacity_tokens = 0;
     /// KV cache bytes per token, and bandwidth of an engine's link to other
     /// engines; zero where engines cannot fetch KV cache contents from each
     /// other.
@@ -85,9 +85,9 @@
     /// meanwhile. A time of zero means that endpoints of this service need no
     /// warm-up.
     milliseconds warmup{0};
-    double warmup_per_second = 0;
+    double warmup_requests_per_second = 0;
 
-    [[nodiscard]] bool is_engine() const { return memory_tokens > 0; }
+    [[nodiscard]] bool is_engine() const { return kv_capacity_tokens > 0; }
     [[nodiscard]] bool can_fetch() const
     {
         return token_bytes > 0 && link_bytes_per_ms > 0;
--- a/packages/core/include/sycamorelock/core/direct/hold_time.hpp
+++ b/packages/core/include/sycamorelock/core/direct/hold_time.hpp
@@ -17,7 +17,7 @@
     /// Number of requests over which the mean is taken. The mean follows a new
     /// release of the service within seconds, and one long answer changes it by
     /// a twentieth of its deviation.
-    static constexpr std::size_t memory = 20;
+    static constexpr std::size_t averaged_requests = 20;
 
     /// \param initial_ms mean until the first request has completed.
     explicit hold_time(double initial_ms = 0) : mean_ms_(initial_ms) {}
--- a/packages/core/include/sycamorelock/core/direct/rate_meter.hpp
+++ b/packages/core/include/sycamorelock/core/direct/rate_meter.hpp
@@ -12,7 +12,7 @@
   public:
     /// Time constant of the exponential decay. Shares are compared over a few
     /// seconds, and a flood of requests should be visible within one second.
-    static constexpr duration averaging = std::chrono::milliseconds(1500);
+    static constexpr duration time_constant = std::chrono::milliseconds(1500);
 
     void add(time_point now, double amount);
     /// Amount per second.
@@ -24,7 +24,7 @@
 
     /// Returns the rate, in amount per second, that one amount adds to the
     /// average at the time it is added.
-    [[nodiscard]] static double rate_of(double amount);
+    [[nodiscard]] static double rate_increment(double amount);
 
   private:
     double rate_ = 0;
--- a/packages/core/include/sycamorelock/core/direct/router.hpp
+++ b/packages/core/include/sycamorelock/core/direct/router.hpp
@@ -614,7 +614,7 @@
         endpoints_by_service_;
     std::set<domain_id> drained_domains_;
     slow_start slow_start_;
-    allowance_parts warmup_allowances_;
+    allowance_shares warmup_allowances_;
     endpoint_notices notices_;
     load_ledger ledger_;
     prefix_cache cache_;
--- a/packages/core/include/sycamorelock/core/direct/slow_start.hpp
+++ b/packages/core/include/sycamorelock/core/direct/slow_start.hpp
@@ -28,7 +28,7 @@
 /// of a domain among its instances. The shares of the domains do not depend on
 /// which instances are reachable, so that both sides of a network partition
 /// together stay within the allowance.
-class allowance_parts
+class allowance_shares
 {
   public:
     /// Time after which an instance may use a share that it gained. Until then
@@ -37,8 +37,8 @@
 
     /// \param domains failure domains of the fleet that the settings name;
     /// those of known instances are added.
-    allowance_parts(instance_id self, domain_id own,
-                    std::set<domain_id> domains);
+    allowance_shares(instance_id self, domain_id own,
+                     std::set<domain_id> domains);
 
     /// Sets the instances that are known now, without this one.
     void set_members(time_point now, const std::vector<fleet_member>& members);
@@ -48,8 +48,8 @@
     /// `settling_time`.
     /// \param allowance requests that all instances together may send in any
     /// second.
-    [[nodiscard]] unsigned own_part(time_point now, endpoint_id endpoint,
-                                    unsigned allowance) const;
+    [[nodiscard]] unsigned own_share(time_point now, endpoint_id endpoint,
+                                     unsigned allowance) const;
 
   private:
     /// Membership of the own failure domain from a time on.
@@ -97,7 +97,8 @@
     /// several calls the latest end of the warm-up holds.
     /// \param in_use whether other instances may be sending to the endpoint
     /// without a limit.
-    void note(time_point now, endpoint_id endpoint, duration left, bool in_use);
+    void extend_warmup(time_point now, endpoint_id endpoint, duration left,
+                       bool in_use);
 
     /// Returns the remaining time of the warm-up; zero if there is none.
     [[nodiscard]] duration left(time_point now, endpoint_id endpoint) const;
@@ -118,8 +119,9 @@
 
     /// Returns the time until `admits` may return true or the limit ends; zero
     /// if a request may be sent now.
-    [[nodiscard]] duration free_in(time_point now, endpoint_id endpoint,
-                                   unsigned share) const;
+    [[nodiscard]] duration time_until_admitted(time_point now,
+                                               endpoint_id endpoint,
+                                               unsigned share) const;
 
     /// Records a request whose first bytes were just sent.
     void sent(time_point now, endpoint_id endpoint);
@@ -128,7 +130,7 @@
     void note_unlisted(time_point now, endpoint_id endpoint);
     /// Records that an endpoint is listed. Returns whether it was unlisted
     /// before.
-    bool listed_again(endpoint_id endpoint);
+    bool note_listed(endpoint_id endpoint);
     /// Removes the state of endpoints that have been unlisted for longer than
     /// `unlisted_retention`.
     void forget_unlisted(time_point now);
--- a/packages/core/include/sycamorelock/core/direct/unseen_requests.hpp
+++ b/packages/core/include/sycamorelock/core/direct/unseen_requests.hpp
@@ -11,7 +11,7 @@
 {
 
 /// Cost of a request at an endpoint according to the last reports.
-struct endpoint_offer
+struct endpoint_cost
 {
     /// Cost of the next request, in ms, without a wait for a slot.
     double cost_ms = 0;
@@ -26,7 +26,7 @@
 /// the endpoint where it costs least after the preceding requests. This fills
 /// the endpoints up to a common cost, as in Dahlin, "Interpreting Stale Load
 /// Information", 2000.
-std::vector<double> spread_requests(std::span<const endpoint_offer> offers,
+std::vector<double> spread_requests(std::span<const endpoint_cost> offers,
                                     double requests);
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/lib/direct/account_shares.cpp
+++ b/packages/core/lib/direct/account_shares.cpp
@@ -15,7 +15,7 @@
 constexpr duration refresh_period = std::chrono::milliseconds(100);
 /// Age at which a report is removed: less than a thousandth of its rates is
 /// left after the decay.
-constexpr duration max_report_age = 7 * rate_meter::averaging;
+constexpr duration max_report_age = 7 * rate_meter::time_constant;
 
 } // namespace
 
@@ -63,8 +63,9 @@
     owed_share_ = max_min_share(throughput, std::move(asked));
 }
 
-account_standing account_shares::ask(time_point now, account_id account,
-                                     double tokens, double throughput)
+account_standing account_shares::record_demand(time_point now,
+                                               account_id account,
+                                               double tokens, double throughput)
 {
     own_[account].asked.add(now, tokens);
     if (throughput <= 0)
@@ -75,12 +76,13 @@
     return {served / owed_share_, served / fair_share_};
 }
 
-void account_shares::serve(time_point now, account_id account, double tokens)
+void account_shares::record_sent(time_point now, account_id account,
+                                 double tokens)
 {
     own_[account].served.add(now, tokens);
     // The account's next request through this instance sees the tokens without
     // a recomputation.
-    fleet_[account].served += rate_meter::rate_of(tokens);
+    fleet_[account].served += rate_meter::rate_increment(tokens);
 }
 
 void account_shares::report(time_point now, instance_id from,
--- a/packages/core/lib/direct/rate_meter.cpp
+++ b/packages/core/lib/direct/rate_meter.cpp
@@ -17,20 +17,20 @@
 
 } // namespace
 
-double rate_meter::rate_of(double amount)
+double rate_meter::rate_increment(double amount)
 {
-    return amount / seconds(averaging);
+    return amount / seconds(time_constant);
 }
 
 void rate_meter::add(time_point now, double amount)
 {
-    rate_ = rate_at(now) + rate_of(amount);
+    rate_ = rate_at(now) + rate_increment(amount);
     at_ = now;
 }
 
 double rate_meter::decay_factor(duration age)
 {
-    return std::exp(-std::max(0.0, seconds(age)) / seconds(averaging));
+    return std::exp(-std::max(0.0, seconds(age)) / seconds(time_constant));
 }
 
 double rate_meter::rate_at(time_point now) const
--- a/packages/core/lib/direct/router.cpp
+++ b/packages/core/lib/direct/router.cpp
@@ -277,9 +277,9 @@
     }
     if (!request.account || request.parts.empty())
         return;
-    request.standing =
-        account_shares_.ask(now, *request.account, request.share_tokens(),
-                            config_->limits.tokens_per_second);
+    request.standing = account_shares_.record_demand(
+        now, *request.account, request.share_tokens(),
+        config_->limits.tokens_per_second);
 }
 
 service_id router::pick_service(const route& request_route)
@@ -333,7 +333,8 @@
         report_is_urgent_ || (placement.hold.unread_ms > urgent_prefill_ms &&
                               uses(mechanism::urgent_reports));
     if (request.account && !request.parts.empty())
-        account_shares_.serve(now, *request.account, request.share_tokens());
+        account_shares_.record_sent(now, *request.account,
+                                    request.share_tokens());
     const service* service_info = find_service(placement.endpoint.service);
     if (service_info == nullptr || !service_info->is_engine() ||
         request.parts.empty())
@@ -473,7 +474,7 @@
         return 0;
     const service* service_info = find_service(found->second.record.service);
     return service_info != nullptr && service_info->is_engine()
-               ? service_info->memory_tokens * prompt_memory_fraction
+               ? service_info->kv_capacity_tokens * prompt_memory_fraction
                : 0;
 }
 
--- a/packages/core/lib/direct/router_decision.cpp
+++ b/packages/core/lib/direct/router_decision.cpp
@@ -190,7 +190,7 @@
                                       slots * usable_slot_fraction);
     // A prompt that does not fit into the free memory waits until requests end.
     if (work.tokens + context.request.prompt_tokens >
-        context.service_info.memory_tokens)
+        context.service_info.kv_capacity_tokens)
         result.wait_ms += to_ms(std::chrono::milliseconds(1000));
     result.cost =
         result.wait_ms + result.prefill_ms * (1 + prefill_cost_factor());
@@ -267,7 +267,7 @@
 {
     // Adding one request to both rates gives a ratio of 1 on an instance
     // without recent requests.
-    const double one = rate_meter::rate_of(1);
+    const double one = rate_meter::rate_increment(1);
     return std::max(1.0,
                     (evaluated.rate_at(now) + one) / (sent.rate_at(now) + one));
 }
@@ -275,7 +275,7 @@
 router::candidate router::draw_candidate(const request_context& context,
                                          std::vector<candidate> candidates)
 {
-    std::vector<endpoint_offer> offers;
+    std::vector<endpoint_cost> offers;
     offers.reserve(candidates.size());
     for (const candidate& each : candidates)
     {
@@ -404,7 +404,7 @@
     // The recent consumption of the account decays exponentially; requests are
     // refused until it is back at the limit.
     const double decay_ms =
-        to_ms(rate_meter::averaging) *
+        to_ms(rate_meter::time_constant) *
         std::log(request.standing.fair / far_beyond_share_ratio);
     return refuse(refusal::beyond_share, decay_ms, 0);
 }
--- a/packages/core/lib/direct/router_warmup.cpp
+++ b/packages/core/lib/direct/router_warmup.cpp
@@ -51,7 +51,7 @@
 void router::start_warmup_limit(time_point now, endpoint_state& endpoint,
                                 duration left, bool in_use)
 {
-    slow_start_.note(now, endpoint.id, left, in_use);
+    slow_start_.extend_warmup(now, endpoint.id, left, in_use);
     update_warmup_limit(endpoint);
 }
 
@@ -70,7 +70,7 @@
                                 bool was_known)
 {
     // The endpoint may have been down while its entry was missing.
-    if (!was_known && slow_start_.listed_again(endpoint.id))
+    if (!was_known && slow_start_.note_listed(endpoint.id))
         start_warmup_limit(now, endpoint,
                            warmup_duration(endpoint.record.service), false);
     if (endpoint.record.warmup_left.count() == 0 ||
@@ -109,10 +109,10 @@
     if (service_info == nullptr)
         return 0;
     const double allowed =
-        service_info->warmup_per_second * options_.warmup.overrun +
+        service_info->warmup_requests_per_second * options_.warmup.overrun +
         options_.warmup.slack;
     static constexpr double max_quota = 1e6;
-    return warmup_allowances_.own_part(
+    return warmup_allowances_.own_share(
         now, endpoint.id,
         static_cast<unsigned>(std::min(std::floor(allowed), max_quota)));
 }
@@ -132,8 +132,8 @@
     {
         if (!state->is_usable(now) || !state->is_limited(now))
             continue;
-        const duration delay =
-            slow_start_.free_in(now, state->id, warmup_quota(now, *state));
+        const duration delay = slow_start_.time_until_admitted(
+            now, state->id, warmup_quota(now, *state));
         shortest_delay = std::min(shortest_delay.value_or(delay), delay);
     }
     return shortest_delay;
--- a/packages/core/lib/direct/slow_start.cpp
+++ b/packages/core/lib/direct/slow_start.cpp
@@ -38,15 +38,15 @@
 
 } // namespace
 
-allowance_parts::allowance_parts(instance_id self, domain_id own,
-                                 std::set<domain_id> domains)
+allowance_shares::allowance_shares(instance_id self, domain_id own,
+                                   std::set<domain_id> domains)
     : self_(self), own_(own), domains_(std::move(domains))
 {
     domains_.insert(own);
 }
 
-void allowance_parts::set_members(time_point now,
-                                  const std::vector<fleet_member>& members)
+void allowance_shares::set_members(time_point now,
+                                   const std::vector<fleet_member>& members)
 {
     std::vector<instance_id> peers;
     for (const fleet_member& each : members)
@@ -64,9 +64,9 @@
         memberships_.pop_back();
 }
 
-unsigned allowance_parts::share_under(const membership& members,
-                                      endpoint_id endpoint,
-                                      unsigned allowance) const
+unsigned allowance_shares::share_under(const membership& members,
+                                       endpoint_id endpoint,
+                                       unsigned allowance) const
 {
     const unsigned of_domain = even_share(
         hash_position(domains_, own_, endpoint), domains_.size(), allowance);
@@ -74,8 +74,8 @@
                       members.domain_peers.size() + 1, of_domain);
 }
 
-unsigned allowance_parts::own_part(time_point now, endpoint_id endpoint,
-                                   unsigned allowance) const
+unsigned allowance_shares::own_share(time_point now, endpoint_id endpoint,
+                                     unsigned allowance) const
 {
     unsigned least = std::numeric_limits<unsigned>::max();
     for (const membership& members : memberships_)
@@ -88,8 +88,8 @@
     return 0;
 }
 
-void slow_start::note(time_point now, endpoint_id endpoint, duration left,
-                      bool in_use)
+void slow_start::extend_warmup(time_point now, endpoint_id endpoint,
+                               duration left, bool in_use)
 {
     if (left <= duration(0))
         return;
@@ -139,8 +139,8 @@
            sent_within(now, *known) + pending < share;
 }
 
-duration slow_start::free_in(time_point now, endpoint_id endpoint,
-                             unsigned share) const
+duration slow_start::time_until_admitted(time_point now, endpoint_id endpoint,
+                                         unsigned share) const
 {
     const state* known = find(endpoint);
     if (known == nullptr)
@@ -167,7 +167,7 @@
     states_[endpoint].unlisted_since = now;
 }
 
-bool slow_start::listed_again(endpoint_id endpoint)
+bool slow_start::note_listed(endpoint_id endpoint)
 {
     const auto found = states_.find(endpoint);
     if (found == states_.end() || !found->second.unlisted_since)
--- a/packages/core/lib/direct/unseen_requests.cpp
+++ b/packages/core/lib/direct/unseen_requests.cpp
@@ -17,7 +17,7 @@
 
 /// Returns the number of requests that an endpoint gets until the next one
 /// costs more than `level`, in ms.
-double requests_below(const endpoint_offer& offer, double level)
+double requests_below(const endpoint_cost& offer, double level)
 {
     if (level < offer.cost_ms)
         return 0;
@@ -27,22 +27,22 @@
                              (level - offer.cost_ms) / ms_per_request);
 }
 
-double requests_below(std::span<const endpoint_offer> offers, double level)
+double requests_below(std::span<const endpoint_cost> offers, double level)
 {
     return std::accumulate(offers.begin(), offers.end(), 0.0,
-                           [level](double sum, const endpoint_offer& offer)
+                           [level](double sum, const endpoint_cost& offer)
                            { return sum + requests_below(offer, level); });
 }
 
 } // namespace
 
-std::vector<double> spread_requests(std::span<const endpoint_offer> offers,
+std::vector<double> spread_requests(std::span<const endpoint_cost> offers,
                                     double requests)
 {
     // Resolves a fraction of a millisecond at costs of hours.
     static constexpr int bisection_steps = 40;
     double low = std::numeric_limits<double>::infinity();
-    for (const endpoint_offer& offer : offers)
+    for (const endpoint_cost& offer : offers)
         low = std::min(low, offer.cost_ms);
     double step = 1;
     while (!offers.empty() && requests_below(offers, low + step) < requests)
@@ -56,7 +56,7 @@
     std::vector<double> counts;
     counts.reserve(offers.size());
     double sum = 0;
-    for (const endpoint_offer& offer : offers)
+    for (const endpoint_cost& offer : offers)
     {
         counts.push_back(requests_below(offer, high));
         sum += counts.back();
--- a/packages/core/unittests/direct_fixture.hpp
+++ b/packages/core/unittests/direct_fixture.hpp
@@ -42,7 +42,7 @@
         config->version = 1;
         service engine_service;
         engine_service.id = drafts;
-        engine_service.memory_tokens = 600000;
+        engine_service.kv_capacity_tokens = 600000;
         engine_service.token_bytes = token_bytes;
         engine_service.link_bytes_per_ms = 50e6;
         config->services[drafts] = engine_service;
--- a/packages/core/unittests/direct_parts_test.cpp
+++ b/packages/core/unittests/direct_parts_test.cpp
@@ -40,13 +40,13 @@
     for (int i = 0; i < 100; ++i)
     {
         at += std::chrono::milliseconds(20);
-        shares.ask(at, north, 400, 10000);
-        shares.serve(at, north, 400);
-        shares.ask(at, south, 40, 10000);
-        shares.serve(at, south, 40);
+        shares.record_demand(at, north, 400, 10000);
+        shares.record_sent(at, north, 400);
+        shares.record_demand(at, south, 40, 10000);
+        shares.record_sent(at, south, 40);
     }
-    cr_expect_gt(shares.ask(at, north, 400, 10000).owed, 1.0);
-    cr_expect_lt(shares.ask(at, south, 40, 10000).owed, 1.0);
+    cr_expect_gt(shares.record_demand(at, north, 400, 10000).owed, 1.0);
+    cr_expect_lt(shares.record_demand(at, south, 40, 10000).owed, 1.0);
 }
 
 Test(direct_shares, service_at_other_instances_counts)
@@ -54,11 +54,12 @@
     account_shares shares;
     shares.report(start, instance_id::of("a"),
                   {{north, 20000, 20000}, {south, 20000, 1000}});
-    cr_expect_gt(shares.ask(start, north, 10, 10000).fair, 1.0);
+    cr_expect_gt(shares.record_demand(start, north, 10, 10000).fair, 1.0);
     const time_point later = start + std::chrono::milliseconds(200);
-    cr_expect_lt(shares.ask(later, south, 10, 10000).owed, 1.0);
+    cr_expect_lt(shares.record_demand(later, south, 10, 10000).owed, 1.0);
     // After ten seconds the report has decayed to almost nothing.
-    cr_expect_lt(shares.ask(start + seconds(10), north, 10, 10000).owed, 1.0);
+    cr_expect_lt(
+        shares.record_demand(start + seconds(10), north, 10, 10000).owed, 1.0);
 }
 
 // An aggregator that has just started reports its own failure domain only. The
@@ -73,14 +74,14 @@
     account_shares shares;
     shares.report(now, aggregator,
                   {{flood, 90000, 40000}, {other, 20000, 5000}});
-    cr_expect_gt(shares.ask(now, flood, 100, 50000).owed, 1.0);
+    cr_expect_gt(shares.record_demand(now, flood, 100, 50000).owed, 1.0);
     const time_point soon = now + std::chrono::milliseconds(150);
     shares.report(soon, aggregator, {{flood, 9000, 2000}});
-    cr_expect_gt(shares.ask(soon, flood, 100, 50000).owed, 1.0);
+    cr_expect_gt(shares.record_demand(soon, flood, 100, 50000).owed, 1.0);
     // Once the averages have decayed, the new report applies alone.
     const time_point later = now + std::chrono::seconds(12);
     shares.report(later, aggregator, {{flood, 9000, 2000}});
-    cr_expect_lt(shares.ask(later, flood, 100, 50000).owed, 1.0);
+    cr_expect_lt(shares.record_demand(later, flood, 100, 50000).owed, 1.0);
 }
 
 Test(direct_shares, reports_of_a_silent_instance_decay)
@@ -89,9 +90,9 @@
     const account_id flood = account_id::of("flood");
     account_shares shares;
     shares.report(now, instance_id::of("a"), {{flood, 90000, 60000}});
-    const double before = shares.ask(now, flood, 100, 50000).owed;
+    const double before = shares.record_demand(now, flood, 100, 50000).owed;
     const time_point later = now + std::chrono::seconds(3);
-    const double after = shares.ask(later, flood, 100, 50000).owed;
+    const double after = shares.record_demand(later, flood, 100, 50000).owed;
     cr_expect_gt(before, 1.0);
     cr_expect_lt(after, before / 2);
 }
--- a/packages/core/unittests/direct_slots_test.cpp
+++ b/packages/core/unittests/direct_slots_test.cpp
@@ -78,7 +78,7 @@
     cr_expect_float_eq(hold.mean_ms(), 100, 1e-9);
     hold.observe(300);
     cr_expect_float_eq(hold.mean_ms(), 200, 1e-9);
-    for (std::size_t i = 0; i < 5 * hold_time::memory; ++i)
+    for (std::size_t i = 0; i < 5 * hold_time::averaged_requests; ++i)
         hold.observe(1000);
     cr_expect_float_eq(hold.mean_ms(), 1000, 10);
     hold.observe(-5000);
--- a/packages/core/unittests/direct_slow_start_test.cpp
+++ b/packages/core/unittests/direct_slow_start_test.cpp
@@ -160,36 +160,36 @@
     const domain_id own = domain_id::of("a");
     const std::set<domain_id> all{own, domain_id::of("b"), domain_id::of("c")};
     const endpoint_id cold = endpoint_id::of("e");
-    allowance_parts alone(instance_id::of("x"), own, all);
+    allowance_shares alone(instance_id::of("x"), own, all);
     alone.set_members(start, {});
-    cr_expect_eq(alone.own_part(start, cold, 15), 0U, "nothing settled yet");
-    cr_expect_eq(alone.own_part(start + seconds(2), cold, 15), 5U);
-    allowance_parts among(instance_id::of("x"), own, all);
+    cr_expect_eq(alone.own_share(start, cold, 15), 0U, "nothing settled yet");
+    cr_expect_eq(alone.own_share(start + seconds(2), cold, 15), 5U);
+    allowance_shares among(instance_id::of("x"), own, all);
     among.set_members(start, {{instance_id::of("y"), domain_id::of("b")}});
-    cr_expect_eq(among.own_part(start + seconds(2), cold, 15), 5U);
+    cr_expect_eq(among.own_share(start + seconds(2), cold, 15), 5U);
     // A gained share may be used after the settling time; a lost share is gone
     // at once.
     alone.set_members(start + seconds(3), {{instance_id::of("z"), own}});
-    const unsigned shared = alone.own_part(start + seconds(3), cold, 15);
+    const unsigned shared = alone.own_share(start + seconds(3), cold, 15);
     cr_expect(shared == 2 || shared == 3);
     alone.set_members(start + seconds(9), {});
-    cr_expect_eq(alone.own_part(start + seconds(10), cold, 15), shared);
-    cr_expect_eq(alone.own_part(start + seconds(11), cold, 15), 5U);
-    cr_expect_eq(alone.own_part(start + seconds(11), cold, 0), 0U);
+    cr_expect_eq(alone.own_share(start + seconds(10), cold, 15), shared);
+    cr_expect_eq(alone.own_share(start + seconds(11), cold, 15), 5U);
+    cr_expect_eq(alone.own_share(start + seconds(11), cold, 0), 0U);
 }
 
 Test(direct_slow_start, the_longest_warm_up_holds_and_is_bounded)
 {
     slow_start limits;
     const endpoint_id cold = endpoint_id::of("e");
-    limits.note(start, cold, seconds(3), false);
-    limits.note(start, cold, seconds(1), false);
-    limits.note(start, cold, seconds(-5), false);
+    limits.extend_warmup(start, cold, seconds(3), false);
+    limits.extend_warmup(start, cold, seconds(1), false);
+    limits.extend_warmup(start, cold, seconds(-5), false);
     cr_expect(limits.left(start, cold) == seconds(3));
     cr_expect(limits.limited_until(cold, 0) == start + seconds(3));
     cr_expect(limits.limited_until(cold, 1) ==
               start + seconds(3) + slow_start::lift_period);
-    limits.note(start, cold, std::chrono::hours(100), false);
+    limits.extend_warmup(start, cold, std::chrono::hours(100), false);
     cr_expect(limits.left(start, cold) == slow_start::max_warmup);
     cr_expect(limits.limited_until(endpoint_id::of("f"), 1) == time_point());
 }
@@ -200,11 +200,11 @@
 {
     slow_start limits;
     const endpoint_id cold = endpoint_id::of("e");
-    limits.note(start, cold, seconds(3), true);
+    limits.extend_warmup(start, cold, seconds(3), true);
     cr_expect_not(limits.admits(start, cold, 5, 0));
     cr_expect(limits.admits(start + slow_start::cold_pause, cold, 5, 0));
     // Another report of the same warm-up starts no second pause.
-    limits.note(start + seconds(1), cold, seconds(2), true);
+    limits.extend_warmup(start + seconds(1), cold, seconds(2), true);
     cr_expect(limits.admits(start + slow_start::cold_pause, cold, 5, 0));
 }
 
@@ -212,18 +212,18 @@
 {
     slow_start limits;
     const endpoint_id cold = endpoint_id::of("e");
-    limits.note(start, cold, seconds(10), false);
+    limits.extend_warmup(start, cold, seconds(10), false);
     limits.sent(at(500), cold);
     limits.sent(at(900), cold);
     cr_expect(limits.admits(at(1000), cold, 3, 0));
     cr_expect_not(limits.admits(at(1000), cold, 3, 1));
     cr_expect_not(limits.admits(at(1000), cold, 2, 0));
-    cr_expect(limits.free_in(at(1000), cold, 2) ==
+    cr_expect(limits.time_until_admitted(at(1000), cold, 2) ==
               at(500) + slow_start::window - at(1000));
     cr_expect_not(limits.admits(at(1510), cold, 2, 0));
     cr_expect(limits.admits(at(1530), cold, 2, 0));
     // An instance without a share has to wait for the end of the warm-up.
-    cr_expect(limits.free_in(at(1000), cold, 0) == seconds(9));
+    cr_expect(limits.time_until_admitted(at(1000), cold, 0) == seconds(9));
 }
 
 namespace
@@ -236,7 +236,7 @@
     fixture() : two_engines(10000, 0, {})
     {
         config->services[drafts].warmup = milliseconds(3000);
-        config->services[drafts].warmup_per_second = 2;
+        config->services[drafts].warmup_requests_per_second = 2;
         decides.install(start, config);
         decides.set_members(start - seconds(10), {});
     }
--- a/test/model/direct_world.cpp
+++ b/test/model/direct_world.cpp
@@ -54,7 +54,7 @@
     plan.figures.step_ms_per_running = 0.023;
     plan.figures.tokens_per_ms = 68;
     plan.figures.ms_per_million_pairs = 0.24;
-    plan.figures.memory_tokens = 740000;
+    plan.figures.kv_capacity_tokens = 740000;
     plan.token_bytes = 163840;
     plan.link_bytes_per_ms = 46e6;
     return plan;
@@ -97,7 +97,7 @@
     direct::service service;
     service.id = engine_service;
     service.name = "planner";
-    service.memory_tokens = plan_.figures.memory_tokens;
+    service.kv_capacity_tokens = plan_.figures.kv_capacity_tokens;
     service.token_bytes = plan_.token_bytes;
     service.link_bytes_per_ms = plan_.link_bytes_per_ms;
     config_->services[engine_service] = service;
--- a/test/model/engine_model.cpp
+++ b/test/model/engine_model.cpp
@@ -60,7 +60,7 @@
 
 void engine_model::evict_least_recent()
 {
-    while (cached_tokens_ > parameters_.memory_tokens && !lru_.empty())
+    while (cached_tokens_ > parameters_.kv_capacity_tokens && !lru_.empty())
     {
         cached_tokens_ -= lru_.back().tokens;
         index_.erase(lru_.back().key);
--- a/test/model/engine_model.hpp
+++ b/test/model/engine_model.hpp
@@ -31,7 +31,7 @@
     /// Most prompt tokens that one step prefills.
     double chunk_tokens = 2048;
     /// Capacity of the KV cache.
-    double memory_tokens = 600000;
+    double kv_capacity_tokens = 600000;
     /// Largest number of requests in the batch.
     unsigned slots = 64;
     /// Factor on the duration of all steps.
--- a/test/model/warming_fleet.hpp
+++ b/test/model/warming_fleet.hpp
@@ -50,25 +50,26 @@
 {
   public:
     explicit hashed_sharing(const sharing_setup& setup)
-        : setup_(setup), parts_(setup.self, setup.domain, setup.domains)
+        : setup_(setup),
+          allowance_shares_(setup.self, setup.domain, setup.domains)
     {
     }
     void set_members(core::time_point now,
                      std::vector<direct::fleet_member> members, std::size_t)
     {
-        parts_.set_members(now, std::move(members));
+        allowance_shares_.set_members(now, std::move(members));
     }
     [[nodiscard]] bool admits(core::time_point now) const
     {
         const unsigned share =
-            parts_.own_part(now, setup_.endpoint, setup_.allowance);
+            allowance_shares_.own_share(now, setup_.endpoint, setup_.allowance);
         return limits_.admits(now, setup_.endpoint, share, 0);
     }
     void sent(core::time_point now) { limits_.sent(now, setup_.endpoint); }
 
   private:
     sharing_setup setup_;
-    direct::allowance_parts parts_;
+    direct::allowance_shares allowance_shares_;
     direct::slow_start limits_;
 };
 
