--- a/packages/adapters/lib/direct/attempt.cpp
+++ b/packages/adapters/lib/direct/attempt.cpp
@@ -194,7 +194,7 @@
 
 asio::awaitable<bool> attempt::connect()
 {
-    const core::endpoint_id id = placed_.hold.endpoint;
+    const core::endpoint_id id = placed_.request_load.endpoint;
     channel_ = context_.channels.take(now(), id);
     if (channel_)
         co_return true;
@@ -606,7 +606,7 @@
         return;
     }
     channel_->idle_until = now() + idle_time(parser_->get());
-    context_.channels.give(placed_.hold.endpoint, std::move(channel_));
+    context_.channels.give(placed_.request_load.endpoint, std::move(channel_));
 }
 
 } // namespace sycamorelock::adapters::direct
--- a/packages/adapters/lib/direct/control_plane.cpp
+++ b/packages/adapters/lib/direct/control_plane.cpp
@@ -129,7 +129,7 @@
     tell_members(at);
     report.config_version = version_;
     report.store = own_store_view(at);
-    report.wants_caches = copies_.wanted(at);
+    report.wants_caches = copies_.should_request(at);
     knowledge_.know(at, store_.revision(), digest_);
     peers_.fill_report(at, report);
     if (!peers_.large(at))
@@ -340,7 +340,7 @@
     was_ready_ = ready();
     // The traffic thread knows engines and their memory from now on.
     if (version_ > 0 && !registry_.all().empty())
-        copies_.began(now());
+        copies_.on_endpoints_known(now());
 }
 
 void control_plane::leave()
--- a/packages/adapters/lib/direct/control_plane_help.cpp
+++ b/packages/adapters/lib/direct/control_plane_help.cpp
@@ -82,7 +82,7 @@
 void control_plane::help_with_caches(const exchange_report& started)
 {
     const core::time_point at = now();
-    if (!started.wants_caches || !copies_.may_give(at) || !is_drawn(at) ||
+    if (!started.wants_caches || !copies_.can_provide(at) || !is_drawn(at) ||
         !caches_pace_.allow(at, started.sender))
         return;
     traffic_.copy_caches(
@@ -112,7 +112,7 @@
 {
     if (copy.notes.empty())
         return;
-    copies_.arrived();
+    copies_.on_copy_received();
     log_.write(direct_event::caches_learned,
                {{"peer", copy.sender},
                 {"engines", std::to_string(copy.notes.size())}});
--- a/packages/adapters/lib/direct/request_session.cpp
+++ b/packages/adapters/lib/direct/request_session.cpp
@@ -364,7 +364,7 @@
                         core::direct::placement_decision placed)
 {
     ++request.attempts;
-    request.tried.insert(placed.hold.endpoint);
+    request.tried.insert(placed.request_load.endpoint);
     log_.placed(request, placed);
     streams_.sending(request, placed);
     auto open = make_attempt(request, std::move(placed));
--- a/packages/core/include/sycamorelock/core/direct/cache_copies.hpp
+++ b/packages/core/include/sycamorelock/core/direct/cache_copies.hpp
@@ -29,22 +29,22 @@
 
     /// Records that the endpoints are known, from which time on estimates are
     /// possible. Later calls have no effect.
-    void began(time_point now)
+    void on_endpoints_known(time_point now)
     {
         if (!endpoints_known_at_)
             endpoints_known_at_ = now;
     }
     /// Records that a copy has arrived.
-    void arrived() { has_copy_ = true; }
+    void on_copy_received() { has_copy_ = true; }
 
     /// Whether reports should request a copy.
-    [[nodiscard]] bool wanted(time_point now) const
+    [[nodiscard]] bool should_request(time_point now) const
     {
         return endpoints_known_at_ && !has_copy_ &&
                now - *endpoints_known_at_ < request_period;
     }
     /// Whether the own estimate is complete enough to be sent to others.
-    [[nodiscard]] bool may_give(time_point now) const
+    [[nodiscard]] bool can_provide(time_point now) const
     {
         return has_copy_ || (endpoints_known_at_ &&
                              now - *endpoints_known_at_ >= complete_after);
--- a/packages/core/include/sycamorelock/core/direct/engine_estimator.hpp
+++ b/packages/core/include/sycamorelock/core/direct/engine_estimator.hpp
@@ -12,7 +12,7 @@
 {
 
 /// Linear cost model of an engine's prefill, in ms.
-struct engine_figures
+struct prefill_cost_model
 {
     /// Fixed time from the start of the engine's work to the first token,
     /// excluding prefill.
@@ -27,12 +27,12 @@
 
     /// Prefill time, in ms, of `uncached` tokens that follow `cached` tokens
     /// whose KV cache is reused.
-    [[nodiscard]] double read_ms(double cached, double uncached) const;
+    [[nodiscard]] double prefill_time_ms(double cached, double uncached) const;
 };
 
 /// One observed time to first token and the inputs of the model for it. Token
 /// counts are those of the prompt.
-struct reading
+struct prefill_sample
 {
     double cached = 0;
     double uncached = 0;
@@ -42,7 +42,7 @@
     /// Time from the start of the engine's work to the first token: time since
     /// the request was sent minus the predicted wait, divided by the engine's
     /// slowdown factor.
-    double took_ms = 0;
+    double observed_first_token_ms = 0;
 };
 
 /// Robust least squares with exponential forgetting (time constant 15 s). An
@@ -59,28 +59,29 @@
     /// Models reported by other instances are dropped at this age.
     static constexpr duration report_lifetime = std::chrono::seconds(5);
     /// Weight of the prior, as a number of observations.
-    static constexpr double guess_weight = 4;
+    static constexpr double prior_weight = 4;
 
     /// Sets the prior, which applies before anything is observed.
     /// \param tokens_per_ms a prefill rate that engines reach for certain, such
     /// as the configured throughput; 0 if none is configured.
-    void set_guess(double tokens_per_ms);
+    void set_prior(double tokens_per_ms);
 
     /// Adds an observation of this instance.
-    void observe(time_point now, const reading& sample);
+    void observe(time_point now, const prefill_sample& sample);
     /// Stores the model that another instance fitted to its observations.
-    void report(time_point now, instance_id from, const engine_figures& model);
+    void report(time_point now, instance_id from,
+                const prefill_cost_model& model);
 
     /// Recomputes the model and returns the one fitted to this instance's
     /// observations alone, to be reported to other instances. To be called a
     /// few times a second.
-    engine_figures refresh(time_point now);
+    prefill_cost_model refresh(time_point now);
     /// The model for routing decisions: combines this instance's observations,
     /// unexpired reports of other instances and the prior.
-    [[nodiscard]] const engine_figures& figures() const { return current_; }
+    [[nodiscard]] const prefill_cost_model& figures() const { return current_; }
     /// The model fitted to this instance's observations alone, to be reported
     /// to other instances.
-    [[nodiscard]] engine_figures own(time_point now) const;
+    [[nodiscard]] prefill_cost_model own(time_point now) const;
 
   private:
     static constexpr std::size_t terms = 3;
@@ -88,10 +89,10 @@
     struct reported_model
     {
         time_point at;
-        engine_figures figures;
+        prefill_cost_model figures;
     };
 
-    [[nodiscard]] engine_figures fit() const;
+    [[nodiscard]] prefill_cost_model fit() const;
     [[nodiscard]] double age_factor(time_point now) const;
 
     /// Normal equations: weighted sums of the products of the terms, and of the
@@ -103,9 +104,9 @@
     /// larger residuals get a lower weight.
     double scale_ms_ = 10;
     time_point updated_at_;
-    engine_figures prior_;
+    prefill_cost_model prior_;
     std::map<instance_id, reported_model> reported_;
-    engine_figures current_;
+    prefill_cost_model current_;
 };
 
 } // namespace sycamorelock::core::direct
--- a/packages/core/include/sycamorelock/core/direct/exchange.hpp
+++ b/packages/core/include/sycamorelock/core/direct/exchange.hpp
@@ -35,7 +35,7 @@
 struct service_figures
 {
     service_id service;
-    engine_figures figures;
+    prefill_cost_model figures;
 };
 
 /// State of another instance as the sender of a report knows it.
--- a/packages/core/include/sycamorelock/core/direct/load_ledger.hpp
+++ b/packages/core/include/sycamorelock/core/direct/load_ledger.hpp
@@ -56,7 +56,7 @@
     static constexpr duration report_lifetime = std::chrono::milliseconds(1000);
 
     /// Work that one open request adds to its endpoint.
-    struct hold
+    struct request_load
     {
         endpoint_id endpoint;
         /// Predicted prefill time, in ms, without the slowdown factor.
@@ -67,7 +67,7 @@
         bool has_first_token = false;
         /// Predicted start of the prefill. With the default, the whole prompt
         /// counts as remaining until the first token.
-        time_point reads_from = time_point::max();
+        time_point prefill_starts_at = time_point::max();
         /// The endpoint's slowdown factor: observed over predicted time.
         double slowdown = 1;
         /// Assigned by open().
@@ -75,11 +75,11 @@
     };
 
     /// Adds a request that was sent to its endpoint.
-    void open(hold& request);
+    void open(request_load& request);
     /// Records the first token of a request; later calls have no effect.
-    void begin(hold& request);
+    void begin(request_load& request);
     /// Removes a request that has ended.
-    void close(const hold& request);
+    void close(const request_load& request);
     /// Sets the time as of which the progress of prefills is computed.
     void advance(time_point now) { progress_at_ = now; }
 
@@ -120,7 +120,7 @@
         std::uint64_t number = 0;
         /// Predicted prefill time without the slowdown factor.
         double ms = 0;
-        time_point reads_from;
+        time_point prefill_starts_at;
         double slowdown = 1;
 
         /// Prefill time that remains, without the slowdown factor.
@@ -135,7 +135,7 @@
 
     /// This instance's work at an endpoint as of the last advance().
     [[nodiscard]] endpoint_work current_work(const own_work& work) const;
-    static void erase_prompt(own_work& work, const hold& request);
+    static void erase_prompt(own_work& work, const request_load& request);
 
     time_point progress_at_;
     std::uint64_t last_number_ = 0;
--- a/packages/core/include/sycamorelock/core/direct/mechanism.hpp
+++ b/packages/core/include/sycamorelock/core/direct/mechanism.hpp
@@ -90,7 +90,7 @@
 {
   public:
     void switch_off(mechanism which) { off_.set(index_of(which)); }
-    [[nodiscard]] bool has(mechanism which) const
+    [[nodiscard]] bool is_enabled(mechanism which) const
     {
         return !off_.test(index_of(which));
     }
--- a/packages/core/include/sycamorelock/core/direct/prompt_fetch.hpp
+++ b/packages/core/include/sycamorelock/core/direct/prompt_fetch.hpp
@@ -36,7 +36,8 @@
                                      endpoint_id source, endpoint_id target,
                                      double tokens) const;
     /// Records a transfer that was requested.
-    void started(time_point now, const fetch_plan& plan, endpoint_id target);
+    void record_transfer(time_point now, const fetch_plan& plan,
+                         endpoint_id target);
     /// Drops the state of an engine that was removed or restarted.
     void forget(endpoint_id engine) { busy_until_.erase(engine); }
     /// Remaining time, in ms, for which an engine's link is busy.
--- a/packages/core/include/sycamorelock/core/direct/prompt_homes.hpp
+++ b/packages/core/include/sycamorelock/core/direct/prompt_homes.hpp
@@ -47,8 +47,9 @@
     static constexpr double max_load_per_home = 0.25;
 
     /// Records a request of this or another instance with a shared prefix.
-    /// \param read_ms prefill time of the part that is not shared, in ms.
-    void note(time_point now, std::uint64_t key, double read_ms);
+    /// \param prefill_time_ms prefill time of the part that is not shared, in
+    /// ms.
+    void note(time_point now, std::uint64_t key, double prefill_time_ms);
 
     /// Number of home engines of a prefix.
     [[nodiscard]] std::size_t count(time_point now, std::uint64_t key) const;
--- a/packages/core/include/sycamorelock/core/direct/router.hpp
+++ b/packages/core/include/sycamorelock/core/direct/router.hpp
@@ -104,7 +104,7 @@
     /// was chosen.
     double slowdown = 1;
     std::optional<fetch_plan> fetch;
-    load_ledger::hold hold;
+    load_ledger::request_load request_load;
     /// Time at which the attempt began to occupy a slot, before its connection
     /// is established.
     time_point sent;
@@ -462,7 +462,7 @@
         time_point now;
         const request_profile& request;
         const service& service_info;
-        engine_figures figures;
+        prefill_cost_model figures;
         hold_time hold_estimate;
         prompt_source source;
 
@@ -473,7 +473,7 @@
         /// `kept` tokens of the prompt in its KV cache.
         [[nodiscard]] double prefill_ms(double kept) const
         {
-            return figures.read_ms(kept, request.prompt_tokens - kept);
+            return figures.prefill_time_ms(kept, request.prompt_tokens - kept);
         }
     };
 
@@ -562,7 +562,7 @@
     [[nodiscard]] double prefill_cost_factor() const;
     [[nodiscard]] bool uses(mechanism which) const
     {
-        return options_.mechanisms.has(which);
+        return options_.mechanisms.is_enabled(which);
     }
     /// Longest allowed wait, in ms; a request with a longer one is refused.
     /// Negative if the request is refused whatever the wait.
--- a/packages/core/lib/direct/engine_estimator.cpp
+++ b/packages/core/lib/direct/engine_estimator.cpp
@@ -55,10 +55,10 @@
     return sum <= 0 ? mine : (mine * my_weight + other * other_weight) / sum;
 }
 
-engine_figures weighted_mean(const engine_figures& mine,
-                             const engine_figures& other)
+prefill_cost_model weighted_mean(const prefill_cost_model& mine,
+                                 const prefill_cost_model& other)
 {
-    engine_figures result;
+    prefill_cost_model result;
     result.first_ms =
         weighted_mean(mine.first_ms, mine.weight, other.first_ms, other.weight);
     result.ms_per_token = weighted_mean(mine.ms_per_token, mine.weight,
@@ -107,20 +107,20 @@
 
 } // namespace
 
-double engine_figures::read_ms(double cached, double uncached) const
+double prefill_cost_model::prefill_time_ms(double cached, double uncached) const
 {
     return uncached * ms_per_token +
            pairs(cached, uncached) * ms_per_million_pairs;
 }
 
-void engine_estimator::set_guess(double tokens_per_ms)
+void engine_estimator::set_prior(double tokens_per_ms)
 {
     prior_.first_ms = prior_first_ms;
     prior_.ms_per_token =
         1 / (tokens_per_ms > 0 ? tokens_per_ms : default_tokens_per_ms);
     prior_.ms_per_million_pairs = prior_ms_per_million_pairs;
-    prior_.weight = guess_weight;
-    if (current_.weight <= guess_weight)
+    prior_.weight = prior_weight;
+    if (current_.weight <= prior_weight)
         current_ = prior_;
 }
 
@@ -131,11 +131,12 @@
                     std::chrono::duration<double>(decay_time).count());
 }
 
-void engine_estimator::observe(time_point now, const reading& sample)
+void engine_estimator::observe(time_point now, const prefill_sample& sample)
 {
     const double expected =
-        current_.first_ms + current_.read_ms(sample.cached, sample.uncached);
-    const double residual = std::abs(sample.took_ms - expected);
+        current_.first_ms +
+        current_.prefill_time_ms(sample.cached, sample.uncached);
+    const double residual = std::abs(sample.observed_first_token_ms - expected);
     scale_ms_ = residual > scale_ms_
                     ? scale_ms_ * scale_up
                     : std::max(min_scale_ms, scale_ms_ / scale_down);
@@ -152,24 +153,24 @@
         for (std::size_t j = 0; j < terms; ++j)
             products_[i][j] =
                 products_[i][j] * decay + sample_weight * term[i] * term[j];
-        times_[i] =
-            times_[i] * decay + sample_weight * term[i] * sample.took_ms;
+        times_[i] = times_[i] * decay +
+                    sample_weight * term[i] * sample.observed_first_token_ms;
     }
     weight_ = weight_ * decay + 1;
     updated_at_ = now;
     // The first observations take effect at once, since the prior may be far
     // off.
-    if (weight_ < guess_weight)
+    if (weight_ < prior_weight)
         refresh(now);
 }
 
 void engine_estimator::report(time_point now, instance_id from,
-                              const engine_figures& model)
+                              const prefill_cost_model& model)
 {
     reported_[from] = {now, model};
 }
 
-engine_figures engine_estimator::fit() const
+prefill_cost_model engine_estimator::fit() const
 {
     // Ridge regularisation towards the prior resolves collinear terms.
     static constexpr double ridge = 0.2;
@@ -184,7 +185,7 @@
         right[i] += ridge * scale[i] * prior_mean[i];
     }
     const vector solution = solve(rows, right);
-    engine_figures result;
+    prefill_cost_model result;
     result.first_ms = std::max(0.0, solution[0]);
     // Prefill always costs time: no engine exceeds a thousand tokens per ms.
     result.ms_per_token = std::max(0.001, solution[1] / token_unit);
@@ -193,16 +194,16 @@
     return result;
 }
 
-engine_figures engine_estimator::own(time_point now) const
+prefill_cost_model engine_estimator::own(time_point now) const
 {
-    engine_figures result = fit();
+    prefill_cost_model result = fit();
     result.weight *= age_factor(now);
     return result;
 }
 
-engine_figures engine_estimator::refresh(time_point now)
+prefill_cost_model engine_estimator::refresh(time_point now)
 {
-    const engine_figures mine = own(now);
+    const prefill_cost_model mine = own(now);
     current_ = weighted_mean(prior_, mine);
     std::erase_if(reported_, [now](const auto& entry)
                   { return now - entry.second.at > report_lifetime; });
--- a/packages/core/lib/direct/load_ledger.cpp
+++ b/packages/core/lib/direct/load_ledger.cpp
@@ -18,7 +18,8 @@
 double load_ledger::pending_prompt::remaining_ms(time_point now) const
 {
     const double elapsed_ms =
-        std::chrono::duration<double, std::milli>(now - reads_from).count() /
+        std::chrono::duration<double, std::milli>(now - prefill_starts_at)
+            .count() /
         slowdown;
     return std::clamp(ms - elapsed_ms, ms * min_remaining, ms);
 }
@@ -31,24 +32,24 @@
     return result;
 }
 
-void load_ledger::open(hold& request)
+void load_ledger::open(request_load& request)
 {
     request.number = ++last_number_;
     own_work& work = own_[request.endpoint];
     work.sum.endpoint = request.endpoint;
     work.pending.push_back({request.number, request.unread_ms,
-                            request.reads_from, request.slowdown});
+                            request.prefill_starts_at, request.slowdown});
     work.sum.tokens += request.tokens;
     ++work.sum.waiting;
 }
 
-void load_ledger::erase_prompt(own_work& work, const hold& request)
+void load_ledger::erase_prompt(own_work& work, const request_load& request)
 {
     std::erase_if(work.pending, [&](const pending_prompt& each)
                   { return each.number == request.number; });
 }
 
-void load_ledger::begin(hold& request)
+void load_ledger::begin(request_load& request)
 {
     if (request.has_first_token)
         return;
@@ -59,7 +60,7 @@
     ++work.sum.running;
 }
 
-void load_ledger::close(const hold& request)
+void load_ledger::close(const request_load& request)
 {
     own_work& work = own_[request.endpoint];
     if (request.has_first_token)
--- a/packages/core/lib/direct/prompt_fetch.cpp
+++ b/packages/core/lib/direct/prompt_fetch.cpp
@@ -31,8 +31,8 @@
            std::max(busy_ms(now, source), busy_ms(now, target));
 }
 
-void fetch_links::started(time_point now, const fetch_plan& plan,
-                          endpoint_id target)
+void fetch_links::record_transfer(time_point now, const fetch_plan& plan,
+                                  endpoint_id target)
 {
     const time_point end =
         now + std::chrono::duration_cast<duration>(
--- a/packages/core/lib/direct/prompt_homes.cpp
+++ b/packages/core/lib/direct/prompt_homes.cpp
@@ -51,9 +51,10 @@
     return static_cast<double>(mixed >> 32U) * to_unit_interval;
 }
 
-void prompt_homes::note(time_point now, std::uint64_t key, double read_ms)
+void prompt_homes::note(time_point now, std::uint64_t key,
+                        double prefill_time_ms)
 {
-    load_[key].add(now, read_ms / ms_per_second);
+    load_[key].add(now, prefill_time_ms / ms_per_second);
 }
 
 std::size_t prompt_homes::count(time_point now, std::uint64_t key) const
--- a/packages/core/lib/direct/router.cpp
+++ b/packages/core/lib/direct/router.cpp
@@ -131,7 +131,7 @@
         if (const service* service_info = find_service(id);
             service_info == nullptr || !service_info->is_engine())
             continue;
-        estimators_[id].set_guess(config_->limits.tokens_per_second /
+        estimators_[id].set_prior(config_->limits.tokens_per_second /
                                   ms_per_second /
                                   static_cast<double>(engines.size()));
     }
@@ -140,7 +140,7 @@
 std::optional<withheld_reason>
 router::withheld(time_point now, const placement_decision& placement) const
 {
-    const auto found = endpoints_.find(placement.hold.endpoint);
+    const auto found = endpoints_.find(placement.request_load.endpoint);
     if (found == endpoints_.end())
         return withheld_reason::gone;
     if (found->second.record.version != placement.endpoint.version ||
@@ -320,18 +320,19 @@
 {
     placement.sent = now;
     if (uses(mechanism::reading_progress))
-        placement.hold.reads_from = now + time_to_prefill_start(placement);
-    placement.hold.slowdown = placement.slowdown;
-    ledger_.open(placement.hold);
-    if (const auto found = endpoints_.find(placement.hold.endpoint);
+        placement.request_load.prefill_starts_at =
+            now + time_to_prefill_start(placement);
+    placement.request_load.slowdown = placement.slowdown;
+    ledger_.open(placement.request_load);
+    if (const auto found = endpoints_.find(placement.request_load.endpoint);
         found != endpoints_.end() && found->second.is_limited(now))
     {
         placement.reserved = true;
         ++found->second.reserved_requests;
     }
-    report_is_urgent_ =
-        report_is_urgent_ || (placement.hold.unread_ms > urgent_prefill_ms &&
-                              uses(mechanism::urgent_reports));
+    report_is_urgent_ = report_is_urgent_ ||
+                        (placement.request_load.unread_ms > urgent_prefill_ms &&
+                         uses(mechanism::urgent_reports));
     if (request.account && !request.parts.empty())
         account_shares_.record_sent(now, *request.account,
                                     request.share_tokens());
@@ -340,8 +341,9 @@
         request.parts.empty())
         return;
     if (placement.fetch)
-        fetch_links_.started(now, *placement.fetch, placement.hold.endpoint);
-    const cache_note note{placement.hold.endpoint, request.parts,
+        fetch_links_.record_transfer(now, *placement.fetch,
+                                     placement.request_load.endpoint);
+    const cache_note note{placement.request_load.endpoint, request.parts,
                           milliseconds(static_cast<milliseconds::rep>(std::min(
                               placement.predicted_ms, max_prefill_due_ms)))};
     on_notes(now, {&note, 1});
@@ -351,22 +353,24 @@
 void router::first_token(time_point now, const request_profile& request,
                          placement_decision& placement, time_point sent)
 {
-    ledger_.begin(placement.hold);
-    const double took_ms = to_ms(now - sent);
-    const auto found = endpoints_.find(placement.hold.endpoint);
+    ledger_.begin(placement.request_load);
+    const double observed_first_token_ms = to_ms(now - sent);
+    const auto found = endpoints_.find(placement.request_load.endpoint);
     if (found != endpoints_.end())
-        found->second.health.first_token(now, took_ms, placement.predicted_ms);
+        found->second.health.first_token(now, observed_first_token_ms,
+                                         placement.predicted_ms);
     const auto estimator = estimators_.find(placement.endpoint.service);
     const bool is_cold =
         found != endpoints_.end() && found->second.is_limited(now);
     if (estimator == estimators_.end() || placement.fetch || is_cold ||
         !uses(mechanism::learned_figures))
         return;
-    reading observed;
+    prefill_sample observed;
     observed.cached = placement.cached_tokens;
     observed.uncached = request.prompt_tokens - placement.cached_tokens;
     observed.wait_ms = placement.wait_ms;
-    observed.took_ms = (took_ms - placement.wait_ms) / placement.slowdown;
+    observed.observed_first_token_ms =
+        (observed_first_token_ms - placement.wait_ms) / placement.slowdown;
     estimator->second.observe(now, observed);
 }
 
@@ -384,8 +388,8 @@
 void router::finished(time_point now, placement_decision& placement,
                       attempt_outcome outcome)
 {
-    ledger_.close(placement.hold);
-    const auto found = endpoints_.find(placement.hold.endpoint);
+    ledger_.close(placement.request_load);
+    const auto found = endpoints_.find(placement.request_load.endpoint);
     if (found == endpoints_.end())
         return;
     cancel_reservation(found->second, placement);
@@ -397,7 +401,7 @@
         if (placement.is_trial)
         {
             notices_.end_backoff(now, placement.endpoint);
-            apply_notices(placement.hold.endpoint);
+            apply_notices(placement.request_load.endpoint);
         }
         record_hold_time(now, placement);
         break;
@@ -450,8 +454,8 @@
             continue;
         prompt_homes_.note(
             now, shared_key(note.parts),
-            learned->second.figures().read_ms(shared_tokens(note.parts),
-                                              note.parts.back().tokens));
+            learned->second.figures().prefill_time_ms(
+                shared_tokens(note.parts), note.parts.back().tokens));
     }
 }
 
--- a/packages/core/lib/direct/router_decision.cpp
+++ b/packages/core/lib/direct/router_decision.cpp
@@ -66,9 +66,9 @@
 double allowed_wait_fraction(const account_standing& standing,
                              const mechanism_set& mechanisms)
 {
-    if (standing.owed <= 1 || !mechanisms.has(mechanism::fair_shares))
+    if (standing.owed <= 1 || !mechanisms.is_enabled(mechanism::fair_shares))
         return max_wait_fraction;
-    if (!mechanisms.has(mechanism::far_beyond))
+    if (!mechanisms.is_enabled(mechanism::far_beyond))
         return max_wait_fraction_beyond_share;
     const double excess = std::clamp(
         (standing.fair - 1) / (far_beyond_share_ratio - 1), 0.0, 1.0);
@@ -140,7 +140,7 @@
     return {now,
             request,
             service_info,
-            learned == estimators_.end() ? engine_figures()
+            learned == estimators_.end() ? prefill_cost_model()
                                          : learned->second.figures(),
             hold_time_of(service_info),
             find_source(now, request, service_info)};
@@ -447,7 +447,7 @@
     placement_decision result = make_placement(context, std::move(*best));
     result.is_trial = notices_.note_probe(now, result.endpoint);
     if (result.is_trial)
-        apply_notices(result.hold.endpoint);
+        apply_notices(result.request_load.endpoint);
     return result;
 }
 
@@ -456,7 +456,7 @@
 {
     // From this weight on, the observations count at least as much as the
     // default estimate.
-    static constexpr double known_weight = 2 * engine_estimator::guess_weight;
+    static constexpr double known_weight = 2 * engine_estimator::prior_weight;
     return context.service_info.is_engine() &&
            context.figures.weight < known_weight && option.free_slots >= 1 &&
            ledger_.total(option.state->id).waiting <= 1;
@@ -472,13 +472,13 @@
     result.cached_tokens = best.cached;
     result.slowdown = best.slowdown;
     result.predicted_ms = best.wait_ms + best.prefill_ms;
-    result.hold.endpoint = best.state->id;
-    result.hold.tokens =
+    result.request_load.endpoint = best.state->id;
+    result.request_load.tokens =
         context.request.prompt_tokens + context.request.output_tokens;
     if (!context.service_info.is_engine())
         return result;
     result.predicted_ms += context.figures.first_ms * best.slowdown;
-    result.hold.unread_ms = context.prefill_ms(best.cached);
+    result.request_load.unread_ms = context.prefill_ms(best.cached);
     result.fetch = std::move(best.fetch);
     if (result.fetch)
         result.predicted_ms += result.fetch->transfer_ms;
--- a/packages/core/lib/direct/router_warmup.cpp
+++ b/packages/core/lib/direct/router_warmup.cpp
@@ -141,12 +141,12 @@
 
 void router::written(time_point now, placement_decision& placement)
 {
-    const auto found = endpoints_.find(placement.hold.endpoint);
+    const auto found = endpoints_.find(placement.request_load.endpoint);
     if (found == endpoints_.end() ||
         warmup_duration(found->second.record.service) <= duration(0))
         return;
     cancel_reservation(found->second, placement);
-    slow_start_.sent(now, placement.hold.endpoint);
+    slow_start_.sent(now, placement.request_load.endpoint);
 }
 
 void router::cancel_reservation(endpoint_state& endpoint,
--- a/packages/core/unittests/direct_caches_test.cpp
+++ b/packages/core/unittests/direct_caches_test.cpp
@@ -137,15 +137,15 @@
 Test(direct_caches, copies_are_requested_after_a_start_and_provided_later)
 {
     cache_copies copies;
-    cr_expect_not(copies.wanted(start));
-    cr_expect_not(copies.may_give(start));
-    copies.began(start);
-    copies.began(start + later);
-    cr_expect(copies.wanted(start));
-    cr_expect_not(copies.wanted(start + cache_copies::request_period));
-    cr_expect_not(copies.may_give(start));
-    cr_expect(copies.may_give(start + cache_copies::complete_after));
-    copies.arrived();
-    cr_expect_not(copies.wanted(start));
-    cr_expect(copies.may_give(start));
+    cr_expect_not(copies.should_request(start));
+    cr_expect_not(copies.can_provide(start));
+    copies.on_endpoints_known(start);
+    copies.on_endpoints_known(start + later);
+    cr_expect(copies.should_request(start));
+    cr_expect_not(copies.should_request(start + cache_copies::request_period));
+    cr_expect_not(copies.can_provide(start));
+    cr_expect(copies.can_provide(start + cache_copies::complete_after));
+    copies.on_copy_received();
+    cr_expect_not(copies.should_request(start));
+    cr_expect(copies.can_provide(start));
 }
--- a/packages/core/unittests/direct_engines_test.cpp
+++ b/packages/core/unittests/direct_engines_test.cpp
@@ -20,7 +20,7 @@
     double tokens_per_ms;
     double ms_per_million_pairs;
 
-    [[nodiscard]] double took_ms(const reading& of) const
+    [[nodiscard]] double observed_first_token_ms(const prefill_sample& of) const
     {
         return first_ms + of.uncached / tokens_per_ms +
                of.uncached * (of.cached + of.uncached / 2) / 1e6 *
@@ -42,12 +42,12 @@
     for (int i = 0; i < count; ++i)
     {
         at += std::chrono::milliseconds(50);
-        reading sample;
+        prefill_sample sample;
         sample.uncached = 100 + tokens(random);
         sample.cached = i % 2 == 0 ? 5000 : 0;
-        sample.took_ms = engine.took_ms(sample);
+        sample.observed_first_token_ms = engine.observed_first_token_ms(sample);
         if (i % 5 == 0)
-            sample.took_ms += unpredicted_wait(random);
+            sample.observed_first_token_ms += unpredicted_wait(random);
         estimator.observe(at, sample);
         estimator.refresh(at);
     }
@@ -56,14 +56,14 @@
 
 /// Relative error of the predicted time to first token, for 6,000 tokens after
 /// 5,000 cached ones.
-double error_of(const engine_figures& model, const true_engine& engine)
+double error_of(const prefill_cost_model& model, const true_engine& engine)
 {
-    reading input;
+    prefill_sample input;
     input.uncached = 6000;
     input.cached = 5000;
-    const double expected = engine.took_ms(input);
+    const double expected = engine.observed_first_token_ms(input);
     const double predicted =
-        model.first_ms + model.read_ms(input.cached, input.uncached);
+        model.first_ms + model.prefill_time_ms(input.cached, input.uncached);
     return std::abs(predicted - expected) / expected;
 }
 
@@ -123,7 +123,7 @@
           true_engine{120, 9, 0.9}})
     {
         engine_estimator estimator;
-        estimator.set_guess(30);
+        estimator.set_prior(30);
         feed_observations(estimator, engine, 300, start);
         cr_expect_lt(error_of(estimator.figures(), engine), 0.1, "%f for %f",
                      error_of(estimator.figures(), engine), engine.first_ms);
@@ -133,7 +133,7 @@
 Test(direct_estimator, a_change_of_engines_is_learned_within_a_minute)
 {
     engine_estimator estimator;
-    estimator.set_guess(30);
+    estimator.set_prior(30);
     const time_point changed =
         feed_observations(estimator, {36, 60, 0.24}, 400, start);
     const true_engine slower{60, 20, 0.5};
@@ -144,12 +144,12 @@
 Test(direct_estimator, the_prior_applies_before_any_observation)
 {
     engine_estimator estimator;
-    estimator.set_guess(20);
+    estimator.set_prior(20);
     estimator.refresh(start);
     cr_expect_float_eq(estimator.figures().ms_per_token, 0.05, 1e-9);
-    cr_expect_leq(estimator.figures().weight, engine_estimator::guess_weight);
+    cr_expect_leq(estimator.figures().weight, engine_estimator::prior_weight);
     engine_estimator without_throughput;
-    without_throughput.set_guess(0);
+    without_throughput.set_prior(0);
     cr_expect_gt(without_throughput.figures().ms_per_token, 0.0);
 }
 
@@ -157,31 +157,31 @@
 {
     const true_engine engine{36, 60, 0.24};
     engine_estimator running;
-    running.set_guess(30);
+    running.set_prior(30);
     const time_point at = feed_observations(running, engine, 300, start);
     engine_estimator starting;
-    starting.set_guess(30);
+    starting.set_prior(30);
     starting.report(at, instance_id::of("old"), running.own(at));
     starting.refresh(at);
     cr_expect_lt(error_of(starting.figures(), engine), 0.15);
     starting.refresh(at + 2 * engine_estimator::report_lifetime);
-    cr_expect_leq(starting.figures().weight, engine_estimator::guess_weight);
+    cr_expect_leq(starting.figures().weight, engine_estimator::prior_weight);
 }
 
 Test(direct_estimator, implausible_observations_leave_a_usable_model)
 {
     engine_estimator estimator;
-    estimator.set_guess(30);
+    estimator.set_prior(30);
     for (int i = 0; i < 100; ++i)
     {
-        reading sample;
+        prefill_sample sample;
         sample.uncached = i % 2 == 0 ? 1e9 : 0;
         sample.cached = 1e9;
-        sample.took_ms = -1000;
+        sample.observed_first_token_ms = -1000;
         estimator.observe(start, sample);
         estimator.refresh(start);
     }
-    cr_expect(std::isfinite(estimator.figures().read_ms(0, 1000)));
+    cr_expect(std::isfinite(estimator.figures().prefill_time_ms(0, 1000)));
     cr_expect_geq(estimator.figures().first_ms, 0.0);
     cr_expect_gt(estimator.figures().ms_per_token, 0.0);
 }
@@ -309,7 +309,7 @@
     fetch_plan plan;
     plan.source = one;
     plan.transfer_ms = links.transfer_ms(start, engines, one, two, 5000);
-    links.started(start, plan, two);
+    links.record_transfer(start, plan, two);
     const double again = links.transfer_ms(start, engines, one, three, 5000);
     cr_expect_float_eq(again, 2 * plan.transfer_ms, 0.01);
     const double after =
@@ -331,7 +331,7 @@
     cr_expect_gt(fix.place(fix.profile_with(4), now + later).cached_tokens,
                  4999.0);
     fix.list({"one"}, 2000);
-    cr_expect_not(fix.decides.knows(first.hold.endpoint));
+    cr_expect_not(fix.decides.knows(first.request_load.endpoint));
     const placement_decision restarted = fix.place(fix.profile_with(4), now);
     cr_expect_float_eq(restarted.cached_tokens, 0, 1e-6);
     cr_expect_float_eq(restarted.wait_ms, 0, 1e-6);
--- a/packages/core/unittests/direct_parts_test.cpp
+++ b/packages/core/unittests/direct_parts_test.cpp
@@ -142,8 +142,8 @@
 Test(direct_ledger, own_and_reported_work_adds_up_and_ends)
 {
     load_ledger ledger;
-    load_ledger::hold hold{engine, 30, 1000, false};
-    ledger.open(hold);
+    load_ledger::request_load request_load{engine, 30, 1000, false};
+    ledger.open(request_load);
     endpoint_work theirs;
     theirs.endpoint = engine;
     theirs.unread_ms = 20;
@@ -152,10 +152,10 @@
     ledger.refresh(start);
     cr_expect_float_eq(ledger.total(engine).unread_ms, 50, 1e-9);
     cr_expect_eq(ledger.total(engine).waiting, 3U);
-    ledger.begin(hold);
+    ledger.begin(request_load);
     cr_expect_float_eq(ledger.total(engine).unread_ms, 20, 1e-9);
     cr_expect_eq(ledger.total(engine).running, 1U);
-    ledger.close(hold);
+    ledger.close(request_load);
     ledger.refresh(start + seconds(2));
     cr_expect(ledger.total(engine).idle());
 }
@@ -165,10 +165,10 @@
 Test(direct_ledger, a_prompt_in_prefill_counts_with_its_remaining_time)
 {
     load_ledger ledger;
-    load_ledger::hold first{engine, 500, 25000, false};
-    first.reads_from = start;
-    load_ledger::hold second{engine, 100, 5000, false};
-    second.reads_from = start + std::chrono::milliseconds(1000);
+    load_ledger::request_load first{engine, 500, 25000, false};
+    first.prefill_starts_at = start;
+    load_ledger::request_load second{engine, 100, 5000, false};
+    second.prefill_starts_at = start + std::chrono::milliseconds(1000);
     second.slowdown = 2;
     ledger.open(first);
     ledger.open(second);
--- a/packages/core/unittests/direct_resume_test.cpp
+++ b/packages/core/unittests/direct_resume_test.cpp
@@ -139,7 +139,8 @@
     instance fix;
     const placement_decision first = fix.place(start, old_release);
     cr_assert_str_eq(first.endpoint.boot.c_str(), "one");
-    const auto again = fix.decide(start, old_release, {first.hold.endpoint});
+    const auto again =
+        fix.decide(start, old_release, {first.request_load.endpoint});
     cr_expect(std::holds_alternative<refusal_decision>(again));
 }
 
--- a/packages/settings/unittests/direct_settings_test.cpp
+++ b/packages/settings/unittests/direct_settings_test.cpp
@@ -73,11 +73,11 @@
     namespace direct = sycamorelock::core::direct;
     const direct_settings all = read_direct(good, "edge.yaml");
     for (const direct::mechanism_name& each : direct::mechanism_names)
-        cr_expect(all.mechanisms.has(each.which));
+        cr_expect(all.mechanisms.is_enabled(each.which));
     const direct_settings some = read_direct(
         std::string(good) + "switched_off: [prompt_fetch]\n", "edge.yaml");
-    cr_expect_not(some.mechanisms.has(direct::mechanism::prompt_fetch));
-    cr_expect(some.mechanisms.has(direct::mechanism::fair_shares));
+    cr_expect_not(some.mechanisms.is_enabled(direct::mechanism::prompt_fetch));
+    cr_expect(some.mechanisms.is_enabled(direct::mechanism::fair_shares));
     const auto found =
         findings_of(std::string(good) + "switched_off: [prompt_fetsch]\n");
     cr_assert_eq(found.size(), 1U);
--- a/test/model/direct_world.cpp
+++ b/test/model/direct_world.cpp
@@ -296,7 +296,7 @@
         }
         request.placed = *placed;
         request.sent = to_time_point(now_ms_);
-        request.engine = engine_index(placed->hold.endpoint);
+        request.engine = engine_index(placed->request_load.endpoint);
         ++sent_to_engine_[request.engine];
         router.sent(to_time_point(now_ms_), request.profile, request.placed);
         schedule_submission(request, id, type.output_tokens);
