--- a/packages/adapters/include/sycamorelock/adapters/direct/traffic_plane.hpp
+++ b/packages/adapters/include/sycamorelock/adapters/direct/traffic_plane.hpp
@@ -62,7 +62,7 @@
     /// Calls `done` on the traffic thread with what is known of them here.
     void copy_caches(
         std::function<void(std::vector<core::direct::cache_note>)> done);
-    void on_notes(std::vector<core::direct::cache_note> notes);
+    void on_cache_notes(std::vector<core::direct::cache_note> notes);
     /// Streams of other instances.
     void on_streams(std::vector<core::direct::stream_note> told);
     /// Takes over what another instance knew of streams.
--- a/packages/adapters/lib/direct/attempt.cpp
+++ b/packages/adapters/lib/direct/attempt.cpp
@@ -355,7 +355,8 @@
     context_.router.written(now(), placed_);
     request_.sent();
     if (request_.secure_next)
-        expect_within(scaled(request_.profile.way->objective, silence_factor));
+        expect_within(
+            scaled(request_.profile.route_config->objective, silence_factor));
 }
 
 asio::awaitable<std::optional<answer_meta>> attempt::read_header()
@@ -519,8 +520,9 @@
 
 asio::awaitable<attempt_end> attempt::relay_events()
 {
-    const core::direct::route& way = *request_.profile.way;
-    const milliseconds pause = scaled(way.pause_objective, pause_factor);
+    const core::direct::route& route_config = *request_.profile.route_config;
+    const milliseconds pause =
+        scaled(route_config.pause_objective, pause_factor);
     for (;;)
     {
         const error_code error =
--- a/packages/adapters/lib/direct/control_plane.cpp
+++ b/packages/adapters/lib/direct/control_plane.cpp
@@ -240,7 +240,7 @@
 void control_plane::use_notes(std::vector<core::direct::cache_note> notes)
 {
     if (!notes.empty())
-        traffic_.on_notes(std::move(notes));
+        traffic_.on_cache_notes(std::move(notes));
 }
 
 void control_plane::use_streams(std::vector<core::direct::stream_note> told)
--- a/packages/adapters/lib/direct/open_request.hpp
+++ b/packages/adapters/lib/direct/open_request.hpp
@@ -50,7 +50,7 @@
     [[nodiscard]] bool resumes_stream() const
     {
         return (meta.last_event || !meta.resumes.empty()) &&
-               profile.way->resumable;
+               profile.route_config->resumable;
     }
     void set_service(core::service_id id)
     {
--- a/packages/adapters/lib/direct/request_session.cpp
+++ b/packages/adapters/lib/direct/request_session.cpp
@@ -93,7 +93,7 @@
 void request_session::end_request()
 {
     if (busy_)
-        stop_request(stop::instance_ends);
+        stop_request(stop::instance_shutting_down);
 }
 
 void request_session::end_if_idle()
@@ -236,8 +236,8 @@
     ++context_.metrics.accepted;
     if (request.profile.deadline > context_.ends_at)
     {
-        co_await answer_refusal(request,
-                                {refusal::instance_ends, least_pause, 0, 0});
+        co_await answer_refusal(
+            request, {refusal::instance_shutting_down, least_pause, 0, 0});
         co_return;
     }
     if (!co_await streams_.bind(request))
@@ -317,9 +317,9 @@
         co_return false;
     }
     const core::direct::catalogue& config = *request.config;
-    const core::direct::route* way =
+    const core::direct::route* route_config =
         config.find_route(request.host(), request.path());
-    if (way == nullptr)
+    if (route_config == nullptr)
     {
         co_await reject(request, http::status::not_found, "no_route",
                         milliseconds(0));
@@ -331,22 +331,23 @@
         request.profile.account = key->second;
         request.account_name = config.accounts.at(key->second).name;
     }
-    else if (!way->anonymous && !config.accounts.empty())
+    else if (!route_config->anonymous && !config.accounts.empty())
     {
         co_await reject(request, http::status::unauthorized, "unknown_key",
                         milliseconds(0));
         co_return false;
     }
     core::direct::request_profile& profile = request.profile;
-    profile.way = way;
+    profile.route_config = route_config;
     profile.parts = std::move(request.meta.parts);
     profile.prompt_tokens = request.meta.prompt_tokens;
     profile.output_tokens = request.meta.output_tokens;
     profile.deadline =
         profile.arrived +
-        std::min(request.meta.time_left.value_or(way->timeout), way->timeout);
+        std::min(request.meta.time_left.value_or(route_config->timeout),
+                 route_config->timeout);
     context_.router.admit(profile.arrived, profile);
-    request.set_service(context_.router.pick_service(*way));
+    request.set_service(context_.router.pick_service(*route_config));
     co_return true;
 }
 
@@ -395,11 +396,12 @@
 request_session::make_attempt(open_request& request,
                               core::direct::placement_decision placed)
 {
-    const core::direct::route& way = *request.profile.way;
+    const core::direct::route& route_config = *request.profile.route_config;
     auto open = std::make_unique<placed_attempt>();
     open->placed = std::move(placed);
     std::function<bool(attempt_end)> secure_next;
-    if (request.attempts < way.max_attempts && way.repeatable())
+    if (request.attempts < route_config.max_attempts &&
+        route_config.repeatable())
         secure_next = [this, &request, &at = open->placed](attempt_end after)
         {
             // What was passed on binds where the stream may go on.
@@ -513,7 +515,7 @@
 std::optional<core::direct::placement_decision>
 request_session::place_again(open_request& request, attempt_end after)
 {
-    const core::direct::route& way = *request.profile.way;
+    const core::direct::route& route_config = *request.profile.route_config;
     // Also a request that no endpoint has run goes to no more of them than the
     // operators allow.
     const auto none = [&request](std::string_view reason)
@@ -521,11 +523,11 @@
         request.not_repeated = reason;
         return std::nullopt;
     };
-    if (request.attempts >= way.max_attempts)
+    if (request.attempts >= route_config.max_attempts)
         return none("attempts_spent");
-    if (request.may_have_run && !way.repeatable())
+    if (request.may_have_run && !route_config.repeatable())
         return none("not_repeatable");
-    if (after == attempt_end::broken && !way.resumable)
+    if (after == attempt_end::broken && !route_config.resumable)
         return none("not_resumable");
     auto decided = context_.router.decide(now(), request.profile,
                                           request.service, request.tried, true);
@@ -583,7 +585,7 @@
         log_.ended(request, to_string(last), 502);
         co_return;
     }
-    const auto rest = context_.router.rest_pause(now(), request.service);
+    const auto rest = context_.router.backoff_delay(now(), request.service);
     co_await answer_problem(http::status::service_unavailable, to_string(last),
                             rest.value_or(soon));
     log_.ended(request, to_string(last), 503);
--- a/packages/adapters/lib/direct/request_session.hpp
+++ b/packages/adapters/lib/direct/request_session.hpp
@@ -40,7 +40,7 @@
         none,
         caller_left,
         time_over,
-        instance_ends,
+        instance_shutting_down,
     };
 
     asio::awaitable<bool> serve_one();
--- a/packages/adapters/lib/direct/stream_binding.cpp
+++ b/packages/adapters/lib/direct/stream_binding.cpp
@@ -22,7 +22,7 @@
 
 asio::awaitable<bool> stream_binding::bind(open_request& request)
 {
-    if (!request.profile.way->resumable)
+    if (!request.profile.route_config->resumable)
         co_return true;
     const std::string& begun_by = request.meta.resumes.empty()
                                       ? request.meta.attempt_id
@@ -44,7 +44,7 @@
 asio::awaitable<stream_resolution>
 stream_binding::resolve(const open_request& request)
 {
-    const core::direct::route& way = *request.profile.way;
+    const core::direct::route& route_config = *request.profile.route_config;
     // The caller's own attempt is new: no news of it can be on its way.
     const bool is_named = !request.meta.resumes.empty();
     const auto key = is_named ? request.stream : std::nullopt;
@@ -53,7 +53,8 @@
     asio::steady_timer timer(context_.io);
     for (;;)
     {
-        stream_resolution found = context_.router.resolve(now(), key, way);
+        stream_resolution found =
+            context_.router.resolve(now(), key, route_config);
         if (found.release || !is_named || now() >= latest)
             co_return found;
         timer.expires_after(recheck_period);
--- a/packages/adapters/lib/direct/traffic_plane.cpp
+++ b/packages/adapters/lib/direct/traffic_plane.cpp
@@ -164,9 +164,9 @@
     /// Any thread.
     [[nodiscard]] bool late() const { return delay_.late(now()); }
 
-    void on_notes(const std::vector<core::direct::cache_note>& notes)
+    void on_cache_notes(const std::vector<core::direct::cache_note>& notes)
     {
-        router_.on_notes(now(), notes);
+        router_.on_cache_notes(now(), notes);
     }
 
   private:
@@ -353,10 +353,10 @@
                { impl->on_report(report); });
 }
 
-void traffic_plane::on_notes(std::vector<core::direct::cache_note> notes)
+void traffic_plane::on_cache_notes(std::vector<core::direct::cache_note> notes)
 {
     asio::post(impl_->io(), [impl = impl_, notes = std::move(notes)]
-               { impl->on_notes(notes); });
+               { impl->on_cache_notes(notes); });
 }
 
 void traffic_plane::adopt_caches(std::vector<core::direct::cache_note> known)
--- a/packages/core/include/sycamorelock/core/direct/router.hpp
+++ b/packages/core/include/sycamorelock/core/direct/router.hpp
@@ -33,7 +33,7 @@
 /// Properties of a request that the routing decision depends on.
 struct request_profile
 {
-    const route* way = nullptr;
+    const route* route_config = nullptr;
     std::optional<account_id> account;
     /// Parts of the prompt, in order; empty for requests to plain services.
     std::vector<prompt_part> parts;
@@ -67,7 +67,7 @@
     drained,
     /// All endpoints of the service that are not leaving have requested
     /// back-off.
-    resting,
+    backing_off,
     /// All usable endpoints are warming up and have received this instance's
     /// quota.
     warming_up,
@@ -85,7 +85,7 @@
     release_gone,
     /// This instance is shutting down and may exit before the request
     /// completes.
-    instance_ends,
+    instance_shutting_down,
 };
 std::string_view to_string(refusal reason);
 
@@ -112,7 +112,7 @@
     /// warming endpoint and not yet sent.
     bool reserved = false;
     /// Whether the attempt probes an endpoint during a long back-off.
-    bool is_trial = false;
+    bool is_probe = false;
 };
 
 struct refusal_decision
@@ -146,7 +146,7 @@
     /// The endpoint is leaving.
     leaving,
     /// The endpoint has requested back-off.
-    resting,
+    backing_off,
     /// Operators drain the failure domain of the endpoint.
     drained,
     /// The endpoint is warming up and has received this instance's quota.
@@ -264,8 +264,8 @@
     /// endpoints of the service that are neither leaving nor drained have
     /// requested back-off. The delay is randomised per caller and never ends
     /// before the first back-off does.
-    [[nodiscard]] std::optional<milliseconds> rest_pause(time_point now,
-                                                         service_id service);
+    [[nodiscard]] std::optional<milliseconds> backoff_delay(time_point now,
+                                                            service_id service);
 
     /// Sets the time up to which the endpoint listing is known to be correct.
     void set_endpoints_current(time_point now, time_point at)
@@ -336,7 +336,7 @@
     void on_report(time_point now, const exchange_report& report);
     /// Processes notes of the prompts that other instances have sent to
     /// engines.
-    void on_notes(time_point now, std::span<const cache_note> notes);
+    void on_cache_notes(time_point now, std::span<const cache_note> notes);
     /// Returns the estimated contents of the engines' KV caches, for an
     /// instance that has started.
     [[nodiscard]] std::vector<cache_note> copy_caches(time_point now) const;
@@ -545,7 +545,7 @@
     /// no usable one is warming up.
     [[nodiscard]] std::optional<duration>
     warmup_delay(time_point now, endpoint_list endpoints) const;
-    /// Same as `rest_pause`, for a given list of endpoints.
+    /// Same as `backoff_delay`, for a given list of endpoints.
     [[nodiscard]] std::optional<milliseconds>
     backoff_delay_of(time_point now, endpoint_list endpoints);
     static void cancel_reservation(endpoint_state& endpoint,
--- a/packages/core/lib/direct/router.cpp
+++ b/packages/core/lib/direct/router.cpp
@@ -59,7 +59,7 @@
         return "no_endpoint";
     case refusal::drained:
         return "drained";
-    case refusal::resting:
+    case refusal::backing_off:
         return "resting";
     case refusal::warming_up:
         return "warming_up";
@@ -73,7 +73,7 @@
         return "release_unknown";
     case refusal::release_gone:
         return "release_gone";
-    case refusal::instance_ends:
+    case refusal::instance_shutting_down:
         return "instance_ends";
     }
     return "unknown";
@@ -87,7 +87,7 @@
         return "gone";
     case withheld_reason::leaving:
         return "leaving";
-    case withheld_reason::resting:
+    case withheld_reason::backing_off:
         return "resting";
     case withheld_reason::drained:
         return "drained";
@@ -150,8 +150,8 @@
         return withheld_reason::leaving;
     if (found->second.is_drained)
         return withheld_reason::drained;
-    if (found->second.is_backing_off(now) && !placement.is_trial)
-        return withheld_reason::resting;
+    if (found->second.is_backing_off(now) && !placement.is_probe)
+        return withheld_reason::backing_off;
     if (found->second.is_limited(now) && !admits(now, found->second, 0))
         return withheld_reason::warming_up;
     return std::nullopt;
@@ -184,8 +184,8 @@
         found->second.apply(notices_);
 }
 
-std::optional<milliseconds> router::rest_pause(time_point now,
-                                               service_id service)
+std::optional<milliseconds> router::backoff_delay(time_point now,
+                                                  service_id service)
 {
     return backoff_delay_of(now, endpoints_of(service));
 }
@@ -269,7 +269,7 @@
 
 void router::admit(time_point now, request_profile& request)
 {
-    for (const route_target& target : request.way->targets)
+    for (const route_target& target : request.route_config->targets)
     {
         const auto found = budgets_.find(target.service);
         if (found != budgets_.end())
@@ -346,7 +346,7 @@
     const cache_note note{placement.request_load.endpoint, request.parts,
                           milliseconds(static_cast<milliseconds::rep>(std::min(
                               placement.predicted_ms, max_prefill_due_ms)))};
-    on_notes(now, {&note, 1});
+    on_cache_notes(now, {&note, 1});
     unsent_cache_notes_.push_back(note);
 }
 
@@ -398,7 +398,7 @@
     {
     case attempt_outcome::succeeded:
         health.succeeded(now);
-        if (placement.is_trial)
+        if (placement.is_probe)
         {
             notices_.end_backoff(now, placement.endpoint);
             apply_notices(placement.request_load.endpoint);
@@ -428,7 +428,7 @@
     ledger_.report(now, from, report.work);
     ledger_.refresh(now);
     account_shares_.report(now, from, report.demands);
-    on_notes(now, report.notes);
+    on_cache_notes(now, report.notes);
     on_streams(now, report.streams);
     for (const service_figures& received : report.figures)
     {
@@ -459,7 +459,7 @@
     }
 }
 
-void router::on_notes(time_point now, std::span<const cache_note> notes)
+void router::on_cache_notes(time_point now, std::span<const cache_note> notes)
 {
     if (large_fleet_)
         record_prompt_demand(now, notes);
--- a/packages/core/lib/direct/router_decision.cpp
+++ b/packages/core/lib/direct/router_decision.cpp
@@ -391,7 +391,7 @@
     if (is_gone)
         return {refusal::release_gone, short_delay, 0};
     if (const auto pause = backoff_delay_of(now, known))
-        return {refusal::resting, *pause, 0};
+        return {refusal::backing_off, *pause, 0};
     if (const auto free = warmup_delay(now, known))
         return refuse_until(refusal::warming_up, *free);
     if (all_drained(known))
@@ -445,8 +445,8 @@
         return refuse_for_load(request, best->wait_ms, allowed_ms);
     admitted.sent.add(now, 1);
     placement_decision result = make_placement(context, std::move(*best));
-    result.is_trial = notices_.note_probe(now, result.endpoint);
-    if (result.is_trial)
+    result.is_probe = notices_.note_probe(now, result.endpoint);
+    if (result.is_probe)
         apply_notices(result.request_load.endpoint);
     return result;
 }
--- a/packages/core/unittests/direct_caches_test.cpp
+++ b/packages/core/unittests/direct_caches_test.cpp
@@ -31,11 +31,11 @@
                                             std::uint64_t own, time_point now)
     {
         request_profile profile =
-            instance.ask_for({{1, 5000}, {own, 300}}, now);
+            instance.make_profile({{1, 5000}, {own, 300}}, now);
         auto placed = std::get<placement_decision>(
-            instance.decides.decide(now, profile, drafts, {}, true));
-        instance.decides.sent(now, profile, placed);
-        instance.decides.first_token(now, profile, placed, now);
+            instance.tested_router.decide(now, profile, drafts, {}, true));
+        instance.tested_router.sent(now, profile, placed);
+        instance.tested_router.first_token(now, profile, placed, now);
         return placed;
     }
 };
@@ -101,7 +101,8 @@
         fixture::route_request(fix.running, 2, start);
     fixture::route_request(fix.running, 3, start + later);
     const time_point now = start + 2 * later;
-    fix.started.decides.adopt_caches(fix.running.decides.copy_caches(now));
+    fix.started.tested_router.adopt_caches(
+        fix.running.tested_router.copy_caches(now));
     const placement_decision next = fixture::route_request(fix.started, 4, now);
     cr_expect(next.endpoint.boot == first.endpoint.boot);
     cr_expect_float_eq(next.cached_tokens, 5000, 1e-6);
@@ -115,7 +116,8 @@
     fixture::route_request(fix.running, 2, start);
     fixture::route_request(fix.running, 3, start + later);
     const time_point now = start + 2 * later;
-    fix.started.decides.adopt_caches(fix.running.decides.copy_caches(now));
+    fix.started.tested_router.adopt_caches(
+        fix.running.tested_router.copy_caches(now));
     const placement_decision next = fixture::route_request(fix.started, 4, now);
     cr_expect_float_eq(next.cached_tokens, 0, 1e-6);
 }
@@ -129,7 +131,8 @@
     fixture::route_request(fix.running, 3, start + later);
     const time_point now = start + 2 * later;
     fix.started.list({"one", "two"}, 7);
-    fix.started.decides.adopt_caches(fix.running.decides.copy_caches(now));
+    fix.started.tested_router.adopt_caches(
+        fix.running.tested_router.copy_caches(now));
     const placement_decision next = fixture::route_request(fix.started, 4, now);
     cr_expect_float_eq(next.cached_tokens, 0, 1e-6);
 }
--- a/packages/core/unittests/direct_drains_test.cpp
+++ b/packages/core/unittests/direct_drains_test.cpp
@@ -29,7 +29,7 @@
         std::map<std::string, endpoint_record> all;
         all["one"] = record("one", hall);
         all["two"] = record("two", yard);
-        decides.set_endpoints(start, all);
+        tested_router.set_endpoints(start, all);
     }
 
     static endpoint_record record(const std::string& boot, domain_id domain)
@@ -41,8 +41,9 @@
 
     routing_decision decide(const std::set<endpoint_id>& tried = {})
     {
-        request_profile request = ask_for({{1, 1000}, {2, 100}});
-        return decides.decide(start, request, drafts, tried, !tried.empty());
+        request_profile request = make_profile({{1, 1000}, {2, 100}});
+        return tested_router.decide(start, request, drafts, tried,
+                                    !tried.empty());
     }
 };
 
@@ -106,17 +107,18 @@
     fixture fix(100);
     const auto first = std::get<placement_decision>(fix.decide());
     const std::string other = first.endpoint.boot == "one" ? "two" : "one";
-    fix.decides.set_drained(start, {first.endpoint.domain}, {});
+    fix.tested_router.set_drained(start, {first.endpoint.domain}, {});
     cr_expect(std::get<placement_decision>(fix.decide()).endpoint.boot ==
               other);
-    cr_expect(fix.decides.withheld(start, first) == withheld_reason::drained);
-    cr_expect_not(fix.decides.may_fetch(
+    cr_expect(fix.tested_router.withheld(start, first) ==
+              withheld_reason::drained);
+    cr_expect_not(fix.tested_router.may_fetch(
         start, {first.endpoint.id(), first.endpoint.address, 1000, 5}));
     const endpoint_id second =
         fixture::record(other, first.endpoint.domain).id();
     cr_expect(std::holds_alternative<refusal_decision>(fix.decide({second})));
-    fix.decides.set_drained(start, {}, {});
-    cr_expect_not(fix.decides.withheld(start, first).has_value());
+    fix.tested_router.set_drained(start, {}, {});
+    cr_expect_not(fix.tested_router.withheld(start, first).has_value());
     cr_expect(std::get<placement_decision>(fix.decide()).endpoint.boot ==
               first.endpoint.boot);
 }
@@ -126,10 +128,10 @@
 Test(direct_drains, endpoints_that_register_later_are_drained_too)
 {
     fixture fix;
-    fix.decides.set_drained(start, {hall, yard}, {});
+    fix.tested_router.set_drained(start, {hall, yard}, {});
     std::map<std::string, endpoint_record> all;
     all["three"] = fixture::record("three", hall);
-    fix.decides.set_endpoints(start, all);
+    fix.tested_router.set_endpoints(start, all);
     const auto refused = std::get<refusal_decision>(fix.decide());
     cr_expect(refused.reason == refusal::drained);
     cr_expect_geq(refused.retry_after.count(), 1000);
@@ -138,15 +140,15 @@
 Test(direct_drains, callers_are_refused_at_once_when_all_domains_are_drained)
 {
     fixture fix;
-    fix.decides.set_drained(start, {hall, yard}, {});
+    fix.tested_router.set_drained(start, {hall, yard}, {});
     cr_expect(std::get<refusal_decision>(fix.decide()).reason ==
               refusal::drained);
     // The drain is the reason for the refusal even if an endpoint has requested
     // back-off.
-    fix.decides.note_backoff(start, fixture::record("one", hall),
-                             milliseconds(3000));
+    fix.tested_router.note_backoff(start, fixture::record("one", hall),
+                                   milliseconds(3000));
     cr_expect(std::get<refusal_decision>(fix.decide()).reason ==
               refusal::drained);
-    fix.decides.set_drained(start, {hall}, {});
+    fix.tested_router.set_drained(start, {hall}, {});
     cr_expect(std::holds_alternative<placement_decision>(fix.decide()));
 }
--- a/packages/core/unittests/direct_engines_test.cpp
+++ b/packages/core/unittests/direct_engines_test.cpp
@@ -78,20 +78,20 @@
     /// A request with the shared prefix of 5,000 tokens and a last part `own`.
     [[nodiscard]] request_profile profile_with(std::uint64_t own) const
     {
-        return ask_for({{1, 5000}, {own, 300}});
+        return make_profile({{1, 5000}, {own, 300}});
     }
 
     placement_decision place(request_profile profile, time_point now)
     {
         return std::get<placement_decision>(
-            decides.decide(now, profile, drafts, {}, true));
+            tested_router.decide(now, profile, drafts, {}, true));
     }
 
     /// Places a request and sends it.
     placement_decision send(const request_profile& profile, time_point now)
     {
         placement_decision placed = place(profile, now);
-        decides.sent(now, profile, placed);
+        tested_router.sent(now, profile, placed);
         return placed;
     }
 
@@ -107,7 +107,7 @@
         work.unread_ms = unread_ms;
         work.waiting = 1;
         report.work = {work};
-        decides.on_report(now, report);
+        tested_router.on_report(now, report);
     }
 };
 
@@ -209,8 +209,8 @@
 {
     fixture fix(160000);
     placement_decision first = fix.send(fix.profile_with(2), start);
-    fix.decides.first_token(start + milliseconds(150), fix.profile_with(2),
-                            first, start);
+    fix.tested_router.first_token(start + milliseconds(150),
+                                  fix.profile_with(2), first, start);
     const placement_decision second =
         fix.place(fix.profile_with(3), start + later);
     cr_expect(second.endpoint.boot == first.endpoint.boot);
@@ -276,7 +276,7 @@
     const placement_decision first = fix.send(fix.profile_with(2), start);
     const time_point now = start + later;
     placement_decision lost = first;
-    fix.decides.finished(now, lost, attempt_outcome::unreachable);
+    fix.tested_router.finished(now, lost, attempt_outcome::unreachable);
     cr_expect_not(fix.place(fix.profile_with(3), now).fetch.has_value());
     const std::string other = first.endpoint.boot == "one" ? "two" : "one";
     fix.list({other, "three"});
@@ -326,17 +326,17 @@
     const placement_decision first = fix.send(fix.profile_with(2), start);
     const time_point now = start + later;
     placement_decision failing = first;
-    fix.decides.finished(now, failing, attempt_outcome::unreachable);
+    fix.tested_router.finished(now, failing, attempt_outcome::unreachable);
     placement_decision open = fix.send(fix.profile_with(3), now + later);
     cr_expect_gt(fix.place(fix.profile_with(4), now + later).cached_tokens,
                  4999.0);
     fix.list({"one"}, 2000);
-    cr_expect_not(fix.decides.knows(first.request_load.endpoint));
+    cr_expect_not(fix.tested_router.knows(first.request_load.endpoint));
     const placement_decision restarted = fix.place(fix.profile_with(4), now);
     cr_expect_float_eq(restarted.cached_tokens, 0, 1e-6);
     cr_expect_float_eq(restarted.wait_ms, 0, 1e-6);
     cr_expect_float_eq(restarted.slowdown, 1, 1e-6);
-    fix.decides.finished(now, open, attempt_outcome::failed);
+    fix.tested_router.finished(now, open, attempt_outcome::failed);
     cr_expect_float_eq(fix.place(fix.profile_with(5), now).wait_ms, 0, 1e-6);
 }
 
@@ -350,10 +350,10 @@
     small.parts = {{7, 100}};
     small.prompt_tokens = 100;
     fix.send(small, start);
-    cr_expect_not(fix.decides.report_is_urgent());
+    cr_expect_not(fix.tested_router.report_is_urgent());
     fix.send(fix.profile_with(3), start);
-    cr_expect(fix.decides.report_is_urgent());
+    cr_expect(fix.tested_router.report_is_urgent());
     exchange_report report;
-    fix.decides.fill_report(start, report);
-    cr_expect_not(fix.decides.report_is_urgent());
+    fix.tested_router.fill_report(start, report);
+    cr_expect_not(fix.tested_router.report_is_urgent());
 }
--- a/packages/core/unittests/direct_fixture.hpp
+++ b/packages/core/unittests/direct_fixture.hpp
@@ -28,7 +28,7 @@
 struct two_engines
 {
     std::shared_ptr<catalogue> config = std::make_shared<catalogue>();
-    router decides;
+    router tested_router;
 
     /// \param tokens_per_second throughput of the service that the
     /// configuration states.
@@ -37,7 +37,7 @@
     /// \param mechanisms mechanisms that the router uses.
     two_engines(double tokens_per_second, double token_bytes,
                 const mechanism_set& mechanisms = {})
-        : decides(options_with(mechanisms))
+        : tested_router(options_with(mechanisms))
     {
         config->version = 1;
         service engine_service;
@@ -53,7 +53,7 @@
         config->routes = {stream_route};
         config->limits.tokens_per_second = tokens_per_second;
         config->index();
-        decides.install(start, config);
+        tested_router.install(start, config);
         list({"one", "two"});
     }
 
@@ -75,14 +75,14 @@
             record.started_ms = started_ms;
             all[name] = record;
         }
-        decides.set_endpoints(start, all);
+        tested_router.set_endpoints(start, all);
     }
 
-    [[nodiscard]] request_profile ask_for(std::vector<prompt_part> parts,
-                                          time_point now = start) const
+    [[nodiscard]] request_profile make_profile(std::vector<prompt_part> parts,
+                                               time_point now = start) const
     {
         request_profile request;
-        request.way = &config->routes.front();
+        request.route_config = &config->routes.front();
         for (const prompt_part& part : parts)
             request.prompt_tokens += part.tokens;
         request.parts = std::move(parts);
--- a/packages/core/unittests/direct_notices_test.cpp
+++ b/packages/core/unittests/direct_notices_test.cpp
@@ -20,22 +20,22 @@
 
     placement_decision place(time_point now = start)
     {
-        request_profile request = ask_for({{1, 1000}, {2, 100}}, now);
+        request_profile request = make_profile({{1, 1000}, {2, 100}}, now);
         return std::get<placement_decision>(
-            decides.decide(now, request, drafts, {}, false));
+            tested_router.decide(now, request, drafts, {}, false));
     }
 
     /// Names of the endpoints that a request is routed to if it fails at each
     /// of them in turn.
     std::set<std::string> endpoints_tried_in_turn(time_point now = start)
     {
-        request_profile request = ask_for({{1, 1000}, {2, 100}}, now);
+        request_profile request = make_profile({{1, 1000}, {2, 100}}, now);
         std::set<std::string> names;
         std::set<endpoint_id> tried;
         for (;;)
         {
-            const auto decision =
-                decides.decide(now, request, drafts, tried, !tried.empty());
+            const auto decision = tested_router.decide(now, request, drafts,
+                                                       tried, !tried.empty());
             const auto* placed = std::get_if<placement_decision>(&decision);
             if (placed == nullptr)
                 return names;
@@ -62,8 +62,9 @@
     fixture fix;
     cr_assert_eq(fix.endpoints_tried_in_turn().size(), 2U);
     const endpoint_record one = record("one", "one:1");
-    cr_expect(fix.decides.note_leaving(start, one));
-    cr_expect_not(fix.decides.note_leaving(start, one), "announced before");
+    cr_expect(fix.tested_router.note_leaving(start, one));
+    cr_expect_not(fix.tested_router.note_leaving(start, one),
+                  "announced before");
     cr_expect(fix.endpoints_tried_in_turn() == std::set<std::string>{"two"});
 }
 
@@ -72,7 +73,7 @@
 Test(direct_notices, no_entry_of_the_same_start_revokes_an_announced_shutdown)
 {
     fixture fix;
-    fix.decides.note_leaving(start, record("one", "one:1"));
+    fix.tested_router.note_leaving(start, record("one", "one:1"));
     fix.list({"one", "two"});
     cr_expect(fix.endpoints_tried_in_turn() == std::set<std::string>{"two"});
     fix.list({"two"});
@@ -112,19 +113,21 @@
 {
     fixture fix;
     const placement_decision placed = fix.place();
-    cr_expect_not(fix.decides.withheld(start, placed).has_value());
-    fix.decides.note_leaving(start, placed.endpoint);
-    cr_expect(fix.decides.withheld(start, placed) == withheld_reason::leaving);
+    cr_expect_not(fix.tested_router.withheld(start, placed).has_value());
+    fix.tested_router.note_leaving(start, placed.endpoint);
+    cr_expect(fix.tested_router.withheld(start, placed) ==
+              withheld_reason::leaving);
 
     fixture listed;
     const placement_decision drained = listed.place();
     endpoint_record draining = drained.endpoint;
     draining.draining = true;
-    listed.decides.set_endpoints(start, {{draining.boot, draining}});
-    cr_expect(listed.decides.withheld(start, drained) ==
+    listed.tested_router.set_endpoints(start, {{draining.boot, draining}});
+    cr_expect(listed.tested_router.withheld(start, drained) ==
               withheld_reason::leaving);
-    listed.decides.set_endpoints(start, {});
-    cr_expect(listed.decides.withheld(start, drained) == withheld_reason::gone);
+    listed.tested_router.set_endpoints(start, {});
+    cr_expect(listed.tested_router.withheld(start, drained) ==
+              withheld_reason::gone);
 }
 
 Test(direct_notices, no_kv_cache_is_fetched_from_a_leaving_engine)
@@ -132,21 +135,22 @@
     fixture fix(100);
     const endpoint_record one = record("one", "one:1");
     const fetch_plan plan{one.id(), one.address, 1000, 5};
-    cr_expect(fix.decides.may_fetch(start, plan));
-    fix.decides.note_leaving(start, one);
-    cr_expect_not(fix.decides.may_fetch(start, plan));
+    cr_expect(fix.tested_router.may_fetch(start, plan));
+    fix.tested_router.note_leaving(start, one);
+    cr_expect_not(fix.tested_router.may_fetch(start, plan));
     fix.list({"two"});
-    cr_expect_not(fix.decides.may_fetch(start, plan));
+    cr_expect_not(fix.tested_router.may_fetch(start, plan));
 }
 
 Test(direct_notices, callers_are_refused_at_once_when_all_endpoints_are_leaving)
 {
     fixture fix;
     for (const char* name : {"one", "two"})
-        fix.decides.note_leaving(start, record(name, std::string(name) + ":1"));
-    request_profile request = fix.ask_for({{1, 1000}});
+        fix.tested_router.note_leaving(start,
+                                       record(name, std::string(name) + ":1"));
+    request_profile request = fix.make_profile({{1, 1000}});
     const auto refused = std::get<refusal_decision>(
-        fix.decides.decide(start, request, drafts, {}, false));
+        fix.tested_router.decide(start, request, drafts, {}, false));
     cr_expect(refused.reason == refusal::no_endpoint);
     cr_expect_gt(refused.retry_after.count(), 0);
 }
@@ -158,11 +162,11 @@
     fixture fix;
     const endpoint_record one = record("one", "one:1");
     const placement_decision waiting = fix.place();
-    fix.decides.note_backoff(start, waiting.endpoint, milliseconds(3000));
+    fix.tested_router.note_backoff(start, waiting.endpoint, milliseconds(3000));
     const auto at = [](int ms) { return start + milliseconds(ms); };
-    cr_expect(fix.decides.withheld(at(2999), waiting) ==
-              withheld_reason::resting);
-    cr_expect_not(fix.decides.withheld(at(3000), waiting).has_value());
+    cr_expect(fix.tested_router.withheld(at(2999), waiting) ==
+              withheld_reason::backing_off);
+    cr_expect_not(fix.tested_router.withheld(at(3000), waiting).has_value());
     for (const int ms : {0, 600, 2999})
         cr_expect_eq(
             fix.endpoints_tried_in_turn(at(ms)).count(waiting.endpoint.boot),
@@ -180,8 +184,8 @@
 {
     fixture fix;
     fix.list({"one", "two"}, 1000);
-    fix.decides.note_backoff(start, record("one", "one:1", 1000),
-                             milliseconds(3000));
+    fix.tested_router.note_backoff(start, record("one", "one:1", 1000),
+                                   milliseconds(3000));
     cr_expect_eq(fix.endpoints_tried_in_turn().size(), 1U);
     fix.list({"one", "two"}, 2000);
     cr_expect_eq(fix.endpoints_tried_in_turn().size(), 2U);
@@ -208,21 +212,21 @@
     fixture fix;
     const endpoint_record one = record("one", "one:1");
     const endpoint_record two = record("two", "two:1");
-    fix.decides.note_backoff(start, one, milliseconds(3000));
-    cr_expect_not(fix.decides.rest_pause(start, drafts).has_value());
-    fix.decides.note_backoff(start, two, milliseconds(2000));
+    fix.tested_router.note_backoff(start, one, milliseconds(3000));
+    cr_expect_not(fix.tested_router.backoff_delay(start, drafts).has_value());
+    fix.tested_router.note_backoff(start, two, milliseconds(2000));
     for (int i = 0; i < 20; ++i)
     {
-        request_profile request = fix.ask_for({{1, 1000}});
+        request_profile request = fix.make_profile({{1, 1000}});
         const auto refused = std::get<refusal_decision>(
-            fix.decides.decide(start, request, drafts, {}, false));
-        cr_expect(refused.reason == refusal::resting);
+            fix.tested_router.decide(start, request, drafts, {}, false));
+        cr_expect(refused.reason == refusal::backing_off);
         cr_expect_geq(refused.retry_after.count(), 2000);
         cr_expect_leq(refused.retry_after.count(), 2500);
     }
     // A leaving endpoint is not considered, since it accepts no request later.
-    fix.decides.note_leaving(start, two);
-    const auto pause = fix.decides.rest_pause(start, drafts);
+    fix.tested_router.note_leaving(start, two);
+    const auto pause = fix.tested_router.backoff_delay(start, drafts);
     cr_assert(pause.has_value());
     cr_expect_geq(pause->count(), 3000);
 }
@@ -231,10 +235,10 @@
 {
     fixture fix(100);
     const endpoint_record one = record("one", "one:1");
-    fix.decides.note_backoff(start, one, milliseconds(3000));
+    fix.tested_router.note_backoff(start, one, milliseconds(3000));
     const fetch_plan plan{one.id(), one.address, 1000, 5};
-    cr_expect_not(fix.decides.may_fetch(start, plan));
-    cr_expect(fix.decides.may_fetch(start + milliseconds(3000), plan));
+    cr_expect_not(fix.tested_router.may_fetch(start, plan));
+    cr_expect(fix.tested_router.may_fetch(start + milliseconds(3000), plan));
 }
 
 // Guards against needless requests in the part of a back-off beyond one minute:
@@ -243,7 +247,7 @@
 Test(direct_notices, a_back_off_beyond_a_minute_allows_two_probes)
 {
     fixture fix;
-    fix.decides.note_backoff(start, record("one", "one:1"), seconds(90));
+    fix.tested_router.note_backoff(start, record("one", "one:1"), seconds(90));
     int sent = 0;
     for (int at = 1; at < 90; ++at)
         sent += fix.endpoints_tried_in_turn(start + seconds(at)).contains("one")
@@ -259,14 +263,14 @@
 {
     fixture fix;
     fix.list({"one"});
-    fix.decides.note_backoff(start, record("one", "one:1"), seconds(90));
+    fix.tested_router.note_backoff(start, record("one", "one:1"), seconds(90));
     const time_point now = start + seconds(61);
     placement_decision probe = fix.place(now);
-    cr_expect_not(fix.decides.withheld(now, probe).has_value());
+    cr_expect_not(fix.tested_router.withheld(now, probe).has_value());
     cr_expect(fix.endpoints_tried_in_turn(now).empty());
-    request_profile request = fix.ask_for({{1, 1000}, {2, 100}}, now);
-    fix.decides.sent(now, request, probe);
-    fix.decides.finished(now, probe, attempt_outcome::succeeded);
+    request_profile request = fix.make_profile({{1, 1000}, {2, 100}}, now);
+    fix.tested_router.sent(now, request, probe);
+    fix.tested_router.finished(now, probe, attempt_outcome::succeeded);
     cr_expect_eq(fix.endpoints_tried_in_turn(now).size(), 1U);
     cr_expect_eq(fix.endpoints_tried_in_turn(now).size(), 1U);
 }
--- a/packages/core/unittests/direct_resume_test.cpp
+++ b/packages/core/unittests/direct_resume_test.cpp
@@ -40,8 +40,8 @@
     {
         config->routes.front().resumable = true;
         config->routes.front().timeout = seconds(5);
-        decides.install(now, config);
-        decides.set_endpoints(start, {});
+        tested_router.install(now, config);
+        tested_router.set_endpoints(start, {});
         set_engines(now, engines);
     }
 
@@ -58,21 +58,22 @@
         std::map<std::string, endpoint_record> all;
         for (const endpoint_record& each : records)
             all[each.boot] = each;
-        decides.set_endpoints(now, all);
+        tested_router.set_endpoints(now, all);
     }
     /// Keeps the endpoint listing current from `from` to `until`.
     void keep_listing_current(time_point from, time_point until)
     {
         for (time_point at = from; at <= until; at += milliseconds(500))
-            decides.set_endpoints_current(at, at);
+            tested_router.set_endpoints_current(at, at);
     }
 
     routing_decision decide(time_point now, std::optional<release_id> release,
                             const std::set<endpoint_id>& tried = {})
     {
-        request_profile request = ask_for({{1, 1000}, {2, 100}}, now);
+        request_profile request = make_profile({{1, 1000}, {2, 100}}, now);
         request.release = release;
-        return decides.decide(now, request, drafts, tried, !tried.empty());
+        return tested_router.decide(now, request, drafts, tried,
+                                    !tried.empty());
     }
     placement_decision place(time_point now, std::optional<release_id> release)
     {
@@ -86,12 +87,13 @@
     [[nodiscard]] stream_resolution resolve(time_point now,
                                             const std::string& attempt) const
     {
-        return decides.resolve(now, key_of(attempt), config->routes.front());
+        return tested_router.resolve(now, key_of(attempt),
+                                     config->routes.front());
     }
     exchange_report report(time_point now)
     {
         exchange_report result;
-        decides.fill_report(now, result);
+        tested_router.fill_report(now, result);
         result.sender = "10.0.0.1:7000";
         return result;
     }
@@ -110,8 +112,8 @@
         const time_point now = start + milliseconds(10 * i);
         placement_decision placed = fix.place(now, old_release);
         cr_assert_str_eq(placed.endpoint.boot.c_str(), "one");
-        request_profile request = fix.ask_for({{1, 1000}}, now);
-        fix.decides.sent(now, request, placed);
+        request_profile request = fix.make_profile({{1, 1000}}, now);
+        fix.tested_router.sent(now, request, placed);
     }
     cr_expect(fix.place(start, new_release).endpoint.release() == new_release);
 }
@@ -125,8 +127,8 @@
     for (int i = 0; i < 30; ++i)
         engines.emplace_back("e" + std::to_string(i), i == 17 ? "v1" : "v2");
     fix.set_engines(start, engines);
-    fix.decides.set_fleet_size(100);
-    cr_assert(fix.decides.large_fleet());
+    fix.tested_router.set_fleet_size(100);
+    cr_assert(fix.tested_router.large_fleet());
     cr_expect_str_eq(fix.place(start, old_release).endpoint.boot.c_str(),
                      "e17");
 }
@@ -164,15 +166,16 @@
 Test(direct_resume, an_endpoint_in_back_off_or_drained_is_not_gone)
 {
     instance fix;
-    fix.decides.note_backoff(start, engine_of("one", "v1"), milliseconds(3000));
+    fix.tested_router.note_backoff(start, engine_of("one", "v1"),
+                                   milliseconds(3000));
     const refusal_decision in_back_off = fix.refuse(start, old_release);
-    cr_expect(in_back_off.reason == refusal::resting);
+    cr_expect(in_back_off.reason == refusal::backing_off);
     cr_expect_geq(in_back_off.retry_after.count(), 2900);
     instance other;
     endpoint_record drained_engine = engine_of("one", "v1");
     drained_engine.domain = domain_id::of("there");
     other.set_engines(start, {drained_engine, engine_of("two", "v2")});
-    other.decides.set_drained(start, {domain_id::of("there")}, {});
+    other.tested_router.set_drained(start, {domain_id::of("there")}, {});
     cr_expect(other.refuse(start, old_release).reason == refusal::drained);
     cr_expect(std::holds_alternative<placement_decision>(
         other.decide(start, std::nullopt)));
@@ -184,10 +187,10 @@
 {
     instance fix;
     const placement_decision placed = fix.place(start, old_release);
-    cr_expect_not(fix.decides.withheld(start, placed).has_value());
+    cr_expect_not(fix.tested_router.withheld(start, placed).has_value());
     fix.set_engines(start, {{"one", "v2"}, {"two", "v2"}});
-    cr_assert(fix.decides.withheld(start, placed).has_value());
-    cr_expect(*fix.decides.withheld(start, placed) ==
+    cr_assert(fix.tested_router.withheld(start, placed).has_value());
+    cr_expect(*fix.tested_router.withheld(start, placed) ==
               withheld_reason::other_release);
     cr_expect(fix.refuse(start, old_release).reason == refusal::release_gone);
 }
@@ -220,9 +223,9 @@
     instance began;
     instance other;
     const placement_decision placed = began.place(start, new_release);
-    began.decides.note_stream(start, key_of("a"), placed, 1);
+    began.tested_router.note_stream(start, key_of("a"), placed, 1);
     cr_expect(began.resolve(start, "a").source == stream_source::own);
-    other.decides.on_report(start, began.report(start));
+    other.tested_router.on_report(start, began.report(start));
     for (const milliseconds later : {milliseconds(1), milliseconds(9000)})
     {
         const stream_resolution found = other.resolve(start + later, "a");
@@ -233,9 +236,9 @@
     // The stream is resumed twice, the second time at a third instance.
     const time_point late = start + seconds(9);
     const placement_decision again = other.place(late, new_release);
-    other.decides.note_resumed(late, key_of("a"), again);
+    other.tested_router.note_resumed(late, key_of("a"), again);
     instance third;
-    third.decides.on_report(late, other.report(late));
+    third.tested_router.on_report(late, other.report(late));
     cr_expect(third.resolve(late, "a").source == stream_source::reported);
     cr_expect(*third.resolve(late, "a").release == new_release);
 }
@@ -246,12 +249,12 @@
 {
     instance fix;
     const placement_decision first = fix.place(start, old_release);
-    fix.decides.note_stream(start, key_of("a"), first, 1);
+    fix.tested_router.note_stream(start, key_of("a"), first, 1);
     fix.report(start);
-    cr_expect_not(fix.decides.report_is_urgent());
+    cr_expect_not(fix.tested_router.report_is_urgent());
     const placement_decision next = fix.place(start, new_release);
-    fix.decides.note_stream(start, key_of("a"), next, 2);
-    cr_expect(fix.decides.report_is_urgent());
+    fix.tested_router.note_stream(start, key_of("a"), next, 2);
+    cr_expect(fix.tested_router.report_is_urgent());
     const exchange_report report = fix.report(start);
     cr_assert_eq(report.streams.size(), 1U);
     cr_expect(report.streams.front().release == new_release);
@@ -266,11 +269,11 @@
     const time_point now = start + observation_time;
     cr_expect(fix.resolve(now, "never sent").source == stream_source::unknown);
     cr_expect(fix.resolve(now, "").source == stream_source::unknown);
-    const auto unnamed =
-        fix.decides.resolve(now, std::nullopt, fix.config->routes.front());
+    const auto unnamed = fix.tested_router.resolve(now, std::nullopt,
+                                                   fix.config->routes.front());
     cr_expect(unnamed.source == stream_source::unknown);
     cr_expect_not(unnamed.release.has_value());
-    const refusal_decision result = fix.decides.refuse_unknown_release();
+    const refusal_decision result = fix.tested_router.refuse_unknown_release();
     cr_expect(result.reason == refusal::release_unknown);
     cr_expect_geq(result.retry_after.count(), 250);
 }
@@ -284,8 +287,8 @@
     fix.keep_listing_current(start, start + 2 * observation_time);
     const time_point now = start + 2 * observation_time;
     cr_expect(fix.resolve(now, "sent elsewhere").source == stream_source::sole);
-    const auto unnamed =
-        fix.decides.resolve(now, std::nullopt, fix.config->routes.front());
+    const auto unnamed = fix.tested_router.resolve(now, std::nullopt,
+                                                   fix.config->routes.front());
     cr_expect(unnamed.source == stream_source::sole);
     cr_expect(*unnamed.release == old_release);
     cr_expect(fix.report(now).streams.empty());
@@ -296,10 +299,10 @@
 {
     instance fix;
     const placement_decision placed = fix.place(start, new_release);
-    fix.decides.note_stream(start, key_of("a"), placed, 1);
-    const auto other =
-        fix.decides.resolve(start, stream_key_of(account_id::of("omar"), "a"),
-                            fix.config->routes.front());
+    fix.tested_router.note_stream(start, key_of("a"), placed, 1);
+    const auto other = fix.tested_router.resolve(
+        start, stream_key_of(account_id::of("omar"), "a"),
+        fix.config->routes.front());
     cr_expect(other.source == stream_source::unknown);
 }
 
@@ -310,15 +313,15 @@
 {
     instance fix;
     const placement_decision placed = fix.place(start, new_release);
-    fix.decides.note_stream(start, key_of("a"), placed, 1);
+    fix.tested_router.note_stream(start, key_of("a"), placed, 1);
     route both = fix.config->routes.front();
     both.targets = {{plans, 9}, {drafts, 1}};
-    const auto found = fix.decides.resolve(start, key_of("a"), both);
+    const auto found = fix.tested_router.resolve(start, key_of("a"), both);
     cr_expect(found.source == stream_source::own);
     cr_expect(found.service == drafts);
     route elsewhere = both;
     elsewhere.targets = {{plans, 1}};
-    const auto moved = fix.decides.resolve(start, key_of("a"), elsewhere);
+    const auto moved = fix.tested_router.resolve(start, key_of("a"), elsewhere);
     cr_expect(moved.source == stream_source::unknown);
     cr_expect_not(moved.release.has_value());
 }
@@ -334,7 +337,7 @@
     both.targets = {{plans, 1}, {drafts, 1}};
     const time_point now = start + observation_time;
     cr_expect(fix.resolve(now, "a").source == stream_source::sole);
-    cr_expect(fix.decides.resolve(now, key_of("a"), both).source ==
+    cr_expect(fix.tested_router.resolve(now, key_of("a"), both).source ==
               stream_source::unknown);
 }
 
@@ -351,10 +354,11 @@
     newer->version = 2;
     newer->routes.front().targets = {{plans, 1}};
     newer->index();
-    fix.decides.install(now, newer);
-    fix.decides.install(now, fix.config);
+    fix.tested_router.install(now, newer);
+    fix.tested_router.install(now, fix.config);
     cr_expect(fix.resolve(now, "a").source == stream_source::unknown);
-    fix.decides.note_stream(now, key_of("b"), fix.place(now, std::nullopt), 1);
+    fix.tested_router.note_stream(now, key_of("b"),
+                                  fix.place(now, std::nullopt), 1);
     cr_expect_eq(fix.report(now).streams.size(), 1U);
 }
 
@@ -365,12 +369,12 @@
     running.keep_listing_current(start, start + observation_time);
     const time_point now = start + observation_time;
     instance started(instance::versions{{"one", "v1"}}, now);
-    started.decides.set_endpoints_current(now, now);
+    started.tested_router.set_endpoints_current(now, now);
     cr_expect(started.report(now).wants_streams);
     cr_expect(started.resolve(now, "a").source == stream_source::unknown);
-    const auto copy = running.decides.copy_streams(now, true);
+    const auto copy = running.tested_router.copy_streams(now, true);
     cr_assert(copy.has_value());
-    started.decides.adopt_streams(now, *copy);
+    started.tested_router.adopt_streams(now, *copy);
     cr_expect_not(started.report(now).wants_streams);
     cr_expect(started.resolve(now, "a").source == stream_source::sole);
 }
--- a/packages/core/unittests/direct_router_test.cpp
+++ b/packages/core/unittests/direct_router_test.cpp
@@ -20,15 +20,15 @@
 
     request_profile admit_request(account_id account, time_point now = start)
     {
-        request_profile request = ask_for({{1, 1000}, {2, 100}}, now);
+        request_profile request = make_profile({{1, 1000}, {2, 100}}, now);
         request.account = account;
-        decides.admit(now, request);
+        tested_router.admit(now, request);
         return request;
     }
 
     routing_decision decide(request_profile request, time_point now = start)
     {
-        return decides.decide(now, request, drafts, {}, false);
+        return tested_router.decide(now, request, drafts, {}, false);
     }
 
     void report_consumption(double greedy_served, double modest_served)
@@ -37,7 +37,7 @@
         report.sender = "other";
         report.demands = {{greedy, 50000, greedy_served},
                           {modest, 50000, modest_served}};
-        decides.on_report(start, report);
+        tested_router.on_report(start, report);
     }
 };
 
@@ -70,7 +70,7 @@
     exchange_report report;
     report.sender = "other";
     report.demands = {{greedy, 5000, 5000}, {modest, 100, 100}};
-    fix.decides.on_report(start, report);
+    fix.tested_router.on_report(start, report);
     cr_expect(is_placed(fix.decide(fix.admit_request(greedy))));
 }
 
@@ -79,7 +79,7 @@
     fixture fix;
     request_profile request = fix.admit_request(modest);
     auto first = std::get<placement_decision>(fix.decide(request));
-    fix.decides.sent(start, request, first);
+    fix.tested_router.sent(start, request, first);
     const auto again =
         std::get<placement_decision>(fix.decide(fix.admit_request(modest)));
     cr_expect(again.endpoint.boot == first.endpoint.boot);
@@ -91,7 +91,7 @@
     fixture fix;
     request_profile request = fix.admit_request(modest);
     const auto first = std::get<placement_decision>(fix.decide(request));
-    const auto other = std::get<placement_decision>(fix.decides.decide(
+    const auto other = std::get<placement_decision>(fix.tested_router.decide(
         start, request, drafts, {first.endpoint.id()}, true));
     cr_expect(other.endpoint.boot != first.endpoint.boot);
     std::map<std::string, endpoint_record> all;
@@ -101,7 +101,7 @@
         all[name].service = drafts;
         all[name].draining = true;
     }
-    fix.decides.set_endpoints(start, all);
+    fix.tested_router.set_endpoints(start, all);
     const routing_decision none = fix.decide(request);
     cr_assert_not(is_placed(none));
     cr_expect(std::get<refusal_decision>(none).reason == refusal::no_endpoint);
@@ -111,10 +111,10 @@
 {
     router_options options;
     options.retry_slack = 50;
-    router decides(options);
-    decides.set_fleet_size(10);
+    router tested_router(options);
+    tested_router.set_fleet_size(10);
     int retries = 0;
-    while (retries < 1000 && decides.spend_retry(drafts))
+    while (retries < 1000 && tested_router.spend_retry(drafts))
         ++retries;
     // Ten instances that receive no reports from each other stay below the
     // slack.
@@ -130,8 +130,8 @@
     for (int i = 0; i < 5; ++i)
     {
         auto failing = first;
-        fix.decides.sent(start, request, failing);
-        fix.decides.finished(start, failing, attempt_outcome::failed);
+        fix.tested_router.sent(start, request, failing);
+        fix.tested_router.finished(start, failing, attempt_outcome::failed);
     }
     const auto next = std::get<placement_decision>(fix.decide(request));
     cr_expect(next.endpoint.boot != first.endpoint.boot);
@@ -154,7 +154,7 @@
         report.sender = "other";
         for (const char* name : {"one", "two"})
             report.work.push_back({endpoint_id::of(name), 600, 1, 0, 3000});
-        decides.on_report(start, report);
+        tested_router.on_report(start, report);
     }
 
     /// Reports figures learned from first tokens that arrived as predicted.
@@ -163,14 +163,14 @@
         exchange_report report;
         report.sender = "third";
         report.figures = {{drafts, {30, 0.1, 0.5, 100}}};
-        decides.on_report(start, report);
+        tested_router.on_report(start, report);
         exchange_report own;
-        decides.fill_report(start, own);
+        tested_router.fill_report(start, own);
     }
     bool places_request(time_point now)
     {
-        request_profile request = ask_for({{1, 1000}, {2, 100}}, now);
-        return is_placed(decides.decide(now, request, drafts, {}, false));
+        request_profile request = make_profile({{1, 1000}, {2, 100}}, now);
+        return is_placed(tested_router.decide(now, request, drafts, {}, false));
     }
 };
 
@@ -185,17 +185,17 @@
     cr_expect(fix.places_request(start));
     // The request is refused if its deadline is shorter than the predicted
     // wait.
-    request_profile request = fix.ask_for({{1, 1000}, {2, 100}});
+    request_profile request = fix.make_profile({{1, 1000}, {2, 100}});
     request.deadline = start + milliseconds(400);
     cr_expect_not(
-        is_placed(fix.decides.decide(start, request, drafts, {}, false)));
+        is_placed(fix.tested_router.decide(start, request, drafts, {}, false)));
     // A queue causes a refusal, and so does a single prompt whose prefill time
     // is known.
     exchange_report queue;
     queue.sender = "other";
     for (const char* name : {"one", "two"})
         queue.work.push_back({endpoint_id::of(name), 600, 5, 0, 3000});
-    fix.decides.on_report(start, queue);
+    fix.tested_router.on_report(start, queue);
     cr_expect_not(fix.places_request(start));
     remote_prompt_fixture learned;
     learned.report_learned_figures();
--- a/packages/core/unittests/direct_slots_test.cpp
+++ b/packages/core/unittests/direct_slots_test.cpp
@@ -30,13 +30,14 @@
         time_point now = start;
         for (int i = 0; i < count; ++i)
         {
-            request_profile profile = ask_for({{1, 100}}, now);
+            request_profile profile = make_profile({{1, 100}}, now);
             auto placed = std::get<placement_decision>(
-                decides.decide(now, profile, drafts, {}, true));
-            decides.sent(now, profile, placed);
-            decides.first_token(now + milliseconds(30), profile, placed, now);
+                tested_router.decide(now, profile, drafts, {}, true));
+            tested_router.sent(now, profile, placed);
+            tested_router.first_token(now + milliseconds(30), profile, placed,
+                                      now);
             now += length;
-            decides.finished(now, placed, attempt_outcome::succeeded);
+            tested_router.finished(now, placed, attempt_outcome::succeeded);
         }
         return now;
     }
@@ -53,13 +54,13 @@
             work.running = running;
             report.work.push_back(work);
         }
-        decides.on_report(now, report);
+        tested_router.on_report(now, report);
     }
 
     routing_decision decide(time_point now)
     {
-        request_profile profile = ask_for({{1, 100}}, now);
-        return decides.decide(now, profile, drafts, {}, false);
+        request_profile profile = make_profile({{1, 100}}, now);
+        return tested_router.decide(now, profile, drafts, {}, false);
     }
 };
 
--- a/packages/core/unittests/direct_slow_start_test.cpp
+++ b/packages/core/unittests/direct_slow_start_test.cpp
@@ -237,8 +237,8 @@
     {
         config->services[drafts].warmup = milliseconds(3000);
         config->services[drafts].warmup_requests_per_second = 2;
-        decides.install(start, config);
-        decides.set_members(start - seconds(10), {});
+        tested_router.install(start, config);
+        tested_router.set_members(start - seconds(10), {});
     }
 
     static endpoint_record record(const std::string& boot, int left_ms,
@@ -254,12 +254,12 @@
         std::map<std::string, endpoint_record> all;
         for (const endpoint_record& each : records)
             all[each.boot] = each;
-        decides.set_endpoints(now, all);
+        tested_router.set_endpoints(now, all);
     }
     routing_decision decide(time_point now)
     {
-        request_profile asked = ask_for({{1, 1000}, {2, 100}}, now);
-        return decides.decide(now, asked, drafts, {}, false);
+        request_profile asked = make_profile({{1, 1000}, {2, 100}}, now);
+        return tested_router.decide(now, asked, drafts, {}, false);
     }
     /// Returns when requests are sent to an engine within `ms` milliseconds
     /// from `from` on, if one request arrives every 10 ms.
@@ -274,16 +274,17 @@
             auto* placed = std::get_if<placement_decision>(&made);
             if (placed == nullptr)
                 continue;
-            request_profile asked = ask_for({{1, 1000}, {2, 100}}, now);
-            decides.sent(now, asked, *placed);
-            if (decides.withheld(now, *placed))
+            request_profile asked = make_profile({{1, 1000}, {2, 100}}, now);
+            tested_router.sent(now, asked, *placed);
+            if (tested_router.withheld(now, *placed))
             {
-                decides.finished(now, *placed, attempt_outcome::abandoned);
+                tested_router.finished(now, *placed,
+                                       attempt_outcome::abandoned);
                 continue;
             }
-            decides.written(now, *placed);
-            decides.first_token(now, asked, *placed, now);
-            decides.finished(now, *placed, attempt_outcome::succeeded);
+            tested_router.written(now, *placed);
+            tested_router.first_token(now, asked, *placed, now);
+            tested_router.finished(now, *placed, attempt_outcome::succeeded);
             if (placed->endpoint.boot == boot)
                 times.push_back(now);
         }
@@ -298,11 +299,11 @@
 {
     fixture fix;
     fix.list_at(start, {fixture::record("new", 3000)});
-    cr_expect_eq(fix.decides.warming(start), 1U);
+    cr_expect_eq(fix.tested_router.warming(start), 1U);
     cr_expect_eq(fix.times_sent("new", start, 1000).size(), 2U);
     cr_expect_eq(fix.times_sent("new", at(1100), 1000).size(), 2U);
     // After the warm-up and the period in which the instances lift the limit.
-    cr_expect_eq(fix.decides.warming(at(4100)), 0U);
+    cr_expect_eq(fix.tested_router.warming(at(4100)), 0U);
     cr_expect_gt(fix.times_sent("new", at(4100), 1000).size(), 50U);
 }
 
@@ -313,7 +314,7 @@
     cr_expect_gt(fix.times_sent("old", start, 1000).size(), 50U);
     // The remaining warm-up in an entry is ignored if the service has none.
     fix.config->services[drafts].warmup = milliseconds(0);
-    fix.decides.install(start, fix.config);
+    fix.tested_router.install(start, fix.config);
     fix.list_at(at(1000), {fixture::record("odd", 60000)});
     cr_expect_gt(fix.times_sent("odd", at(1000), 1000).size(), 50U);
 }
@@ -323,12 +324,12 @@
 {
     fixture fix;
     fix.config->services[drafts].warmup = milliseconds(0);
-    fix.decides.install(start, fix.config);
+    fix.tested_router.install(start, fix.config);
     fix.list_at(start, {fixture::record("new", 3000)});
     auto newer = std::make_shared<catalogue>(*fix.config);
     newer->services[drafts].warmup = milliseconds(3000);
     newer->index();
-    fix.decides.install(start, newer);
+    fix.tested_router.install(start, newer);
     cr_expect_eq(fix.times_sent("new", start, 1000).size(), 2U);
 }
 
@@ -341,21 +342,21 @@
     cr_expect_gt(fix.times_sent("one", start, 1000).size(), 50U);
     const endpoint_id one = fixture::record("one", 0).id();
     const warming_notice current{one, 5, milliseconds(2000)};
-    fix.decides.on_warming(at(1000), {&current, 1});
+    fix.tested_router.on_warming(at(1000), {&current, 1});
     cr_expect_eq(fix.times_sent("one", at(1000), 1490).size(), 0U,
                  "paused after turning cold");
     cr_expect_leq(fix.times_sent("one", at(2500), 500).size(), 2U);
     // An older notice and a repeated one have no effect.
     const warming_notice outdated{one, 4, milliseconds(9000)};
-    fix.decides.on_warming(at(3000), {&outdated, 1});
-    fix.decides.on_warming(at(3000), {&current, 1});
-    cr_expect_eq(fix.decides.warming(at(4100)), 0U);
+    fix.tested_router.on_warming(at(3000), {&outdated, 1});
+    fix.tested_router.on_warming(at(3000), {&current, 1});
+    cr_expect_eq(fix.tested_router.warming(at(4100)), 0U);
     // A newer entry starts another warm-up, which this instance reports to
     // others.
     fix.list_at(at(5000), {fixture::record("one", 3000, 9)});
-    cr_expect_eq(fix.decides.warming(at(5000)), 1U);
+    cr_expect_eq(fix.tested_router.warming(at(5000)), 1U);
     exchange_report report;
-    fix.decides.fill_report(at(6000), report);
+    fix.tested_router.fill_report(at(6000), report);
     cr_assert_eq(report.warming.size(), 1U);
     cr_expect_eq(report.warming[0].revision, 9U);
     cr_expect_eq(report.warming[0].left.count(), 2000);
@@ -370,14 +371,14 @@
     fix.list_at(at(100), {fixture::record("two", 0)});
     fix.list_at(at(900),
                 {fixture::record("one", 0), fixture::record("two", 0)});
-    cr_expect_eq(fix.decides.warming(at(900)), 1U);
+    cr_expect_eq(fix.tested_router.warming(at(900)), 1U);
     // An engine that was unreachable is assumed to be cold, too.
     fixture other;
     other.list_at(start, {fixture::record("one", 0)});
     auto placed = std::get<placement_decision>(other.decide(start));
-    other.decides.finished(start, placed, attempt_outcome::unreachable);
-    cr_expect_eq(other.decides.warming(at(100)), 1U);
-    cr_expect_eq(other.decides.warming(at(4100)), 0U);
+    other.tested_router.finished(start, placed, attempt_outcome::unreachable);
+    cr_expect_eq(other.tested_router.warming(at(100)), 1U);
+    cr_expect_eq(other.tested_router.warming(at(4100)), 0U);
 }
 
 Test(direct_slow_start, a_domain_is_cold_after_its_drain_ends)
@@ -387,18 +388,18 @@
     endpoint_record one = fixture::record("one", 0);
     one.domain = yard;
     fix.list_at(start, {one});
-    fix.decides.set_drained(start, {yard}, {});
+    fix.tested_router.set_drained(start, {yard}, {});
     const domain_drain ended{yard, 7, false, duration(0)};
-    fix.decides.set_drained(at(1000), {}, {&ended, 1});
+    fix.tested_router.set_drained(at(1000), {}, {&ended, 1});
     cr_expect_eq(fix.times_sent("one", at(1000), 1000).size(), 2U);
-    cr_expect_eq(fix.decides.warming(at(5100)), 0U);
+    cr_expect_eq(fix.tested_router.warming(at(5100)), 0U);
     // An instance that receives the report later learns how long ago the drain
     // ended.
     fixture late;
     late.list_at(start, {one});
     const domain_drain long_ago{yard, 7, false, seconds(60)};
-    late.decides.set_drained(start, {}, {&long_ago, 1});
-    cr_expect_eq(late.decides.warming(start), 0U);
+    late.tested_router.set_drained(start, {}, {&long_ago, 1});
+    cr_expect_eq(late.tested_router.warming(start), 0U);
 }
 
 // A request beyond the limit is refused at once, with the time after which the
@@ -429,9 +430,9 @@
     fix.list_at(start, {fixture::record("one", 0)});
     const auto placed = std::get<placement_decision>(fix.decide(start));
     fix.list_at(at(100), {fixture::record("one", 3000, 2)});
-    cr_expect(fix.decides.withheld(at(100), placed) ==
+    cr_expect(fix.tested_router.withheld(at(100), placed) ==
               withheld_reason::warming_up);
-    cr_expect_not(fix.decides.may_fetch(
+    cr_expect_not(fix.tested_router.may_fetch(
         at(100), {placed.endpoint.id(), placed.endpoint.address, 1000, 5}));
 }
 
@@ -441,12 +442,12 @@
 {
     fixture fix;
     fix.list_at(start, {fixture::record("new", 3000)});
-    request_profile asked = fix.ask_for({{1, 1000}, {2, 100}}, start);
+    request_profile asked = fix.make_profile({{1, 1000}, {2, 100}}, start);
     auto first = std::get<placement_decision>(fix.decide(start));
-    fix.decides.sent(start, asked, first);
+    fix.tested_router.sent(start, asked, first);
     auto second = std::get<placement_decision>(fix.decide(start));
-    fix.decides.sent(start, asked, second);
+    fix.tested_router.sent(start, asked, second);
     cr_expect(std::holds_alternative<refusal_decision>(fix.decide(start)));
-    fix.decides.finished(start, second, attempt_outcome::abandoned);
+    fix.tested_router.finished(start, second, attempt_outcome::abandoned);
     cr_expect(std::holds_alternative<placement_decision>(fix.decide(start)));
 }
--- a/test/model/direct_world.cpp
+++ b/test/model/direct_world.cpp
@@ -271,7 +271,7 @@
             request.profile.prompt_tokens = type.shared_tokens + unique_tokens;
             request.profile.output_tokens = type.output_tokens;
         }
-        request.profile.way = &config_->routes[route_index];
+        request.profile.route_config = &config_->routes[route_index];
         request.profile.account = core::account_id::of(request.account);
         request.profile.arrived = to_time_point(now_ms_);
         request.profile.deadline = to_time_point(now_ms_ + type.deadline_ms);
