--- a/packages/core/unittests/direct_load_test.cpp
+++ b/packages/core/unittests/direct_load_test.cpp
@@ -20,18 +20,18 @@
 
 Test(direct_load, usual_load_is_served_on_time)
 {
-    direct_world world(atlas_plan());
+    fleet_simulation world(atlas_config());
     world.run(8);
-    world.forget_results();
+    world.reset_results();
     world.run(8);
-    const kind_result& overhauls = world.of_kind("overhaul");
+    const request_counts& overhauls = world.counts_of_type("overhaul");
     // 346 of 585; 200 if the cost of a repeated prefill counts only
     // its delay (`reread_price` switched off).
-    cr_expect_gt(share(overhauls.on_time, overhauls.asked), 0.5, "%u of %u",
-                 overhauls.on_time, overhauls.asked);
-    const kind_result& notes = world.of_kind("note");
-    cr_expect_gt(share(notes.on_time, notes.asked), 0.9, "%u of %u",
-                 notes.on_time, notes.asked);
+    cr_expect_gt(share(overhauls.on_time, overhauls.offered_requests), 0.5,
+                 "%u of %u", overhauls.on_time, overhauls.offered_requests);
+    const request_counts& notes = world.counts_of_type("note");
+    cr_expect_gt(share(notes.on_time, notes.offered_requests), 0.9, "%u of %u",
+                 notes.on_time, notes.offered_requests);
 }
 
 // Engines prefill 4.5 million tokens for 1,840 requests; 6.7 million if the
@@ -39,37 +39,37 @@
 // off).
 Test(direct_load, shared_prompts_stay_on_the_engines_that_cache_them)
 {
-    direct_world world(atlas_plan());
+    fleet_simulation world(atlas_config());
     world.run(6);
-    const double before = world.tokens_read();
+    const double before = world.prefilled_tokens();
     world.run(10);
-    const double prefilled = world.tokens_read() - before;
+    const double prefilled = world.prefilled_tokens() - before;
     cr_expect_lt(prefilled, 5.4e6, "%.0f tokens prefilled", prefilled);
 }
 
 Test(direct_load, a_hot_prompt_is_served_by_several_engines)
 {
-    direct_world world(atlas_plan());
+    fleet_simulation world(atlas_config());
     world.run(6);
-    world.forget_results();
-    world.set_hot_subject(0.3);
+    world.reset_results();
+    world.set_hot_prompt_share(0.3);
     world.run(6);
-    const kind_result& overhauls = world.of_kind("overhaul");
-    cr_expect_gt(share(overhauls.on_time, overhauls.asked), 0.45, "%u of %u",
-                 overhauls.on_time, overhauls.asked);
+    const request_counts& overhauls = world.counts_of_type("overhaul");
+    cr_expect_gt(share(overhauls.on_time, overhauls.offered_requests), 0.45,
+                 "%u of %u", overhauls.on_time, overhauls.offered_requests);
 }
 
 Test(direct_load, a_flooding_account_does_not_delay_small_accounts)
 {
-    direct_world world(atlas_plan());
+    fleet_simulation world(atlas_config());
     world.run(6);
-    world.forget_results();
+    world.reset_results();
     world.set_account_factor("account-0", 8);
     world.run(8);
-    const kind_result& small = world.of_account("account-8");
-    cr_expect_gt(share(small.on_time, small.asked), 0.6, "%u of %u",
-                 small.on_time, small.asked);
-    const kind_result& flood = world.of_account("account-0");
+    const request_counts& small = world.counts_of_account("account-8");
+    cr_expect_gt(share(small.on_time, small.offered_requests), 0.6, "%u of %u",
+                 small.on_time, small.offered_requests);
+    const request_counts& flood = world.counts_of_account("account-0");
     cr_expect_gt(flood.refused, small.refused);
 }
 
@@ -78,12 +78,12 @@
 // three times the tokens of the other.
 Test(direct_load, two_flooding_accounts_get_about_the_same)
 {
-    direct_world world(atlas_plan());
+    fleet_simulation world(atlas_config());
     world.run(6);
     world.set_account_factor("account-2", 10);
     world.set_account_factor("account-5", 14);
     world.run(3);
-    world.forget_results();
+    world.reset_results();
     world.run(8);
     const double one = world.served_tokens("account-2");
     const double other = world.served_tokens("account-5");
@@ -93,78 +93,79 @@
 
 Test(direct_load, requests_sent_during_a_burst_are_on_time)
 {
-    direct_world world(atlas_plan());
+    fleet_simulation world(atlas_config());
     world.run(6);
-    world.forget_results();
-    world.set_traffic(2);
+    world.reset_results();
+    world.set_traffic_factor(2);
     world.run(6);
-    const kind_result all = world.of_all_kinds();
+    const request_counts all = world.total_counts();
     cr_expect_gt(share(all.on_time, all.on_time + all.late), 0.75,
                  "%u on time, %u late", all.on_time, all.late);
 }
 
 Test(direct_load, half_of_the_engines_crash)
 {
-    direct_world world(atlas_plan());
+    fleet_simulation world(atlas_config());
     world.run(6);
     world.crash_engines(0, 9);
     world.run(2);
-    world.forget_results();
+    world.reset_results();
     world.run(8);
-    const kind_result all = world.of_all_kinds();
-    cr_expect_gt(share(all.on_time, all.asked), 0.3, "%u of %u", all.on_time,
-                 all.asked);
+    const request_counts all = world.total_counts();
+    cr_expect_gt(share(all.on_time, all.offered_requests), 0.3, "%u of %u",
+                 all.on_time, all.offered_requests);
 }
 
 // If the prediction ignores the slowdown factor of an engine, the slow engines
 // get as many requests as the others.
 Test(direct_load, slow_engines_get_fewer_requests)
 {
-    direct_world world(atlas_plan());
+    fleet_simulation world(atlas_config());
     world.run(6);
     world.slow_engines(0, 6, 5);
     world.run(3);
-    world.forget_results();
+    world.reset_results();
     world.run(6);
-    const unsigned slow = world.sent_to(0, 6);
-    const unsigned others = world.sent_to(6, 12);
+    const unsigned slow = world.requests_sent_to(0, 6);
+    const unsigned others = world.requests_sent_to(6, 12);
     cr_expect_lt(slow * 4, others, "%u to slow engines, %u to others", slow,
                  others);
 }
 
 Test(direct_load, partitioned_halves_still_serve)
 {
-    direct_world world(atlas_plan());
+    fleet_simulation world(atlas_config());
     world.run(6);
-    world.cut_routers_at(4);
+    world.partition_routers_at(4);
     world.run(2);
-    world.forget_results();
+    world.reset_results();
     world.run(6);
-    const kind_result& notes = world.of_kind("note");
-    cr_expect_gt(share(notes.on_time, notes.asked), 0.6, "%u of %u",
-                 notes.on_time, notes.asked);
+    const request_counts& notes = world.counts_of_type("note");
+    cr_expect_gt(share(notes.on_time, notes.offered_requests), 0.6, "%u of %u",
+                 notes.on_time, notes.offered_requests);
 }
 
 // Accounts far beyond their share are refused on purpose. The test therefore
 // checks the accounts within their share, and the requests that were sent.
 Test(direct_load, reports_half_a_second_old_suffice)
 {
-    world_plan plan = atlas_plan();
+    simulation_config plan = atlas_config();
     plan.report_delay_ms = 500;
-    direct_world world(plan);
+    fleet_simulation world(plan);
     world.run(6);
-    world.forget_results();
+    world.reset_results();
     world.run(6);
-    unsigned asked = 0;
+    unsigned offered_requests = 0;
     unsigned on_time = 0;
     for (const char* name : {"account-5", "account-6", "account-7", "account-8",
                              "account-9", "account-10", "account-11"})
     {
-        asked += world.of_account(name).asked;
-        on_time += world.of_account(name).on_time;
+        offered_requests += world.counts_of_account(name).offered_requests;
+        on_time += world.counts_of_account(name).on_time;
     }
-    cr_expect_gt(share(on_time, asked), 0.7, "%u of %u", on_time, asked);
-    const kind_result& overhauls = world.of_kind("overhaul");
+    cr_expect_gt(share(on_time, offered_requests), 0.7, "%u of %u", on_time,
+                 offered_requests);
+    const request_counts& overhauls = world.counts_of_type("overhaul");
     cr_expect_gt(share(overhauls.on_time, overhauls.on_time + overhauls.late),
                  0.75, "%u on time, %u late", overhauls.on_time,
                  overhauls.late);
@@ -175,29 +176,29 @@
 // engines with the shortest wait in the reports.
 Test(direct_load, a_large_fleet_with_stale_reports_uses_different_engines)
 {
-    direct_world world(large_plan());
+    fleet_simulation world(large_fleet_config());
     world.run(4);
-    world.forget_results();
+    world.reset_results();
     world.run(4);
-    const kind_result& overhauls = world.of_kind("overhaul");
-    cr_expect_gt(share(overhauls.on_time, overhauls.asked), 0.3, "%u of %u",
-                 overhauls.on_time, overhauls.asked);
+    const request_counts& overhauls = world.counts_of_type("overhaul");
+    cr_expect_gt(share(overhauls.on_time, overhauls.offered_requests), 0.3,
+                 "%u of %u", overhauls.on_time, overhauls.offered_requests);
 }
 
 // 289 of 481 overhaul requests are on time; 248 if a prompt is assigned to
 // three engines regardless of its request rate.
 Test(direct_load, a_hot_prompt_of_a_large_fleet_gets_more_engines)
 {
-    direct_world world(large_plan());
+    fleet_simulation world(large_fleet_config());
     world.run(4);
-    world.set_traffic(0.4);
-    world.set_hot_subject(0.5);
+    world.set_traffic_factor(0.4);
+    world.set_hot_prompt_share(0.5);
     world.run(4);
-    world.forget_results();
+    world.reset_results();
     world.run(4);
-    const kind_result& overhauls = world.of_kind("overhaul");
-    cr_expect_gt(share(overhauls.on_time, overhauls.asked), 0.57, "%u of %u",
-                 overhauls.on_time, overhauls.asked);
+    const request_counts& overhauls = world.counts_of_type("overhaul");
+    cr_expect_gt(share(overhauls.on_time, overhauls.offered_requests), 0.57,
+                 "%u of %u", overhauls.on_time, overhauls.offered_requests);
 }
 
 // In a large fleet each prompt is assigned to three engines. If a long prompt
@@ -206,18 +207,18 @@
 // only the remaining prefill counts.
 Test(direct_load, requests_behind_long_prompts_are_refused_less)
 {
-    const auto run_plan = [](const world_plan& plan)
+    const auto run_plan = [](const simulation_config& plan)
     {
-        direct_world world(plan);
+        fleet_simulation world(plan);
         world.run(4);
-        world.forget_results();
+        world.reset_results();
         world.run(4);
-        return world.of_all_kinds();
+        return world.total_counts();
     };
-    world_plan plan = large_plan();
-    const kind_result with = run_plan(plan);
+    simulation_config plan = large_fleet_config();
+    const request_counts with = run_plan(plan);
     plan.mechanisms.switch_off(direct::mechanism::reading_progress);
-    const kind_result without = run_plan(plan);
+    const request_counts without = run_plan(plan);
     cr_expect_gt(with.on_time, without.on_time + without.on_time / 10,
                  "%u with, %u without", with.on_time, without.on_time);
     cr_expect_lt(share(with.late, with.on_time), 0.08, "%u late", with.late);
@@ -230,16 +231,16 @@
 // with a quarter of the slots free.
 Test(direct_load, an_overloaded_large_fleet_keeps_both_engines_busy)
 {
-    direct_world world(undescribed_plan());
+    fleet_simulation world(undescribed_prompts_config());
     world.run(4);
-    world.forget_results();
+    world.reset_results();
     world.run(8);
-    const kind_result& drafts = world.of_kind("draft");
+    const request_counts& drafts = world.counts_of_type("draft");
     cr_expect_gt(drafts.on_time, 600, "%u on time", drafts.on_time);
     cr_expect_lt(drafts.late, 30, "%u late", drafts.late);
-    cr_expect_lt(drafts.refused_with_slots, 50,
-                 "%u of %u refused with slots free", drafts.refused_with_slots,
-                 drafts.refused);
+    cr_expect_lt(drafts.refused_with_free_slots, 50,
+                 "%u of %u refused with slots free",
+                 drafts.refused_with_free_slots, drafts.refused);
 }
 
 namespace
@@ -248,14 +249,14 @@
 /// Returns the number of statement requests that are on time under a load
 /// pattern.
 template <class Pattern>
-unsigned statements_on_time(const world_plan& plan, Pattern pattern)
+unsigned statements_on_time(const simulation_config& plan, Pattern pattern)
 {
-    direct_world world(plan);
+    fleet_simulation world(plan);
     world.run(6);
     pattern(world);
-    world.forget_results();
+    world.reset_results();
     world.run(10);
-    return world.of_kind("statement").on_time;
+    return world.counts_of_type("statement").on_time;
 }
 
 } // namespace
@@ -265,8 +266,9 @@
 // prompt; 227 if each engine prefills the prompt itself.
 Test(direct_load, a_hot_prompt_is_fetched_by_other_engines)
 {
-    const auto hot = [](direct_world& world) { world.set_hot_subject(0.5); };
-    world_plan plan = letters_plan();
+    const auto hot = [](fleet_simulation& world)
+    { world.set_hot_prompt_share(0.5); };
+    simulation_config plan = letter_drafts_config();
     const unsigned with = statements_on_time(plan, hot);
     plan.mechanisms.switch_off(direct::mechanism::prompt_fetch);
     const unsigned without = statements_on_time(plan, hot);
@@ -279,20 +281,20 @@
 // and requests are answered late.
 Test(direct_load, engines_slower_than_the_operators_figure_are_learned)
 {
-    world_plan plan = letters_plan();
-    plan.figures.tokens_per_ms = 10;
-    const auto late_share = [](const world_plan& of)
+    simulation_config plan = letter_drafts_config();
+    plan.engine_params.tokens_per_ms = 10;
+    const auto late_share = [](const simulation_config& of)
     {
-        direct_world world(of);
+        fleet_simulation world(of);
         world.run(6);
-        world.forget_results();
+        world.reset_results();
         world.run(10);
         unsigned on_time = 0;
         unsigned late = 0;
         for (const char* name : {"statement", "reminder", "subject"})
         {
-            on_time += world.of_kind(name).on_time;
-            late += world.of_kind(name).late;
+            on_time += world.counts_of_type(name).on_time;
+            late += world.counts_of_type(name).late;
         }
         return share(late, on_time + late);
     };
@@ -308,15 +310,15 @@
 // together depend on the length and reduce the prediction error further.
 Test(direct_load, learned_parameters_reduce_the_prediction_error)
 {
-    world_plan plan = letters_plan();
-    plan.figures.tokens_per_ms = 10;
-    const auto median_error = [](const world_plan& of)
+    simulation_config plan = letter_drafts_config();
+    plan.engine_params.tokens_per_ms = 10;
+    const auto median_error = [](const simulation_config& of)
     {
-        direct_world world(of);
+        fleet_simulation world(of);
         world.run(6);
-        world.forget_results();
+        world.reset_results();
         world.run(10);
-        return world.median_miss();
+        return world.median_prediction_error();
     };
     const double with = median_error(plan);
     plan.mechanisms.switch_off(direct::mechanism::learned_figures);
@@ -328,13 +330,13 @@
 // the service. Requests are on time again after a few seconds.
 Test(direct_load, engines_that_turn_slow_are_learned)
 {
-    direct_world world(letters_plan());
+    fleet_simulation world(letter_drafts_config());
     world.run(6);
     world.slow_engines(0, 9, 3);
     world.run(10);
-    world.forget_results();
+    world.reset_results();
     world.run(8);
-    const kind_result all = world.of_all_kinds();
+    const request_counts all = world.total_counts();
     cr_expect_gt(share(all.on_time, all.on_time + all.late), 0.75,
                  "%u on time, %u late", all.on_time, all.late);
 }
--- a/test/model/direct_world.cpp
+++ b/test/model/direct_world.cpp
@@ -21,10 +21,10 @@
 
 } // namespace
 
-world_plan atlas_plan()
+simulation_config atlas_config()
 {
-    world_plan plan;
-    plan.kinds = {
+    simulation_config plan;
+    plan.request_types = {
         {"overhaul", 58.3, 13300, 3720, 120, 206, 800, 12000},
         {"vehicle", 43.7, 6300, 2890, 52, 68, 1200, 6000},
         {"note", 86.9, 350, 1110, 171, 136, 1500, 15000},
@@ -38,57 +38,57 @@
     return plan;
 }
 
-world_plan letters_plan()
+simulation_config letter_drafts_config()
 {
-    world_plan plan;
+    simulation_config plan;
     plan.routers = 9;
     plan.engines = 9;
     plan.tokens_per_second = 280000;
-    plan.kinds = {
+    plan.request_types = {
         {"statement", 45.6, 5382, 6610, 380, 161, 800, 15000},
         {"reminder", 58.6, 198, 628, 290, 138, 400, 15000},
         {"subject", 61.7, 568, 1800, 22, 145, 400, 3000},
     };
-    plan.accounts = atlas_plan().accounts;
-    plan.figures.step_ms = 3.8;
-    plan.figures.step_ms_per_running = 0.023;
-    plan.figures.tokens_per_ms = 68;
-    plan.figures.ms_per_million_pairs = 0.24;
-    plan.figures.kv_capacity_tokens = 740000;
+    plan.accounts = atlas_config().accounts;
+    plan.engine_params.step_ms = 3.8;
+    plan.engine_params.step_ms_per_running = 0.023;
+    plan.engine_params.tokens_per_ms = 68;
+    plan.engine_params.ms_per_million_pairs = 0.24;
+    plan.engine_params.kv_capacity_tokens = 740000;
     plan.token_bytes = 163840;
     plan.link_bytes_per_ms = 46e6;
     return plan;
 }
 
-world_plan large_plan()
+simulation_config large_fleet_config()
 {
-    world_plan plan = atlas_plan();
+    simulation_config plan = atlas_config();
     plan.routers = 40;
     plan.engines = 90;
     plan.tokens_per_second *= 5;
-    for (request_kind& type : plan.kinds)
+    for (request_type& type : plan.request_types)
     {
-        type.per_second *= 5;
+        type.requests_per_second *= 5;
         type.distinct_prefixes *= 5;
     }
     plan.report_delay_ms = 200;
     return plan;
 }
 
-world_plan undescribed_plan()
+simulation_config undescribed_prompts_config()
 {
-    world_plan plan;
+    simulation_config plan;
     plan.routers = 38;
     plan.engines = 2;
     plan.tokens_per_second = 0;
-    plan.kinds = {{"draft", 300, 0, 0, 36, 1, 400, 4000, false}};
+    plan.request_types = {{"draft", 300, 0, 0, 36, 1, 400, 4000, false}};
     plan.accounts = {{"account-0", 1}};
-    plan.figures.slots = 8;
+    plan.engine_params.slots = 8;
     plan.report_delay_ms = 100;
     return plan;
 }
 
-direct_world::direct_world(world_plan plan)
+fleet_simulation::fleet_simulation(simulation_config plan)
     : plan_(std::move(plan)), generator_(plan_.seed),
       config_(std::make_shared<direct::catalogue>()),
       is_listed_(plan_.engines, true), sent_to_engine_(plan_.engines, 0)
@@ -97,11 +97,11 @@
     direct::service service;
     service.id = engine_service;
     service.name = "planner";
-    service.kv_capacity_tokens = plan_.figures.kv_capacity_tokens;
+    service.kv_capacity_tokens = plan_.engine_params.kv_capacity_tokens;
     service.token_bytes = plan_.token_bytes;
     service.link_bytes_per_ms = plan_.link_bytes_per_ms;
     config_->services[engine_service] = service;
-    for (const request_kind& type : plan_.kinds)
+    for (const request_type& type : plan_.request_types)
     {
         direct::route route;
         route.name = type.name;
@@ -117,7 +117,7 @@
     config_->index();
     for (std::size_t i = 0; i < plan_.engines; ++i)
         engines_.push_back(std::make_unique<engine_model>(
-            plan_.figures,
+            plan_.engine_params,
             [this](std::uint64_t id, double ms) { on_first_token(id, ms); },
             [this](std::uint64_t id, double ms) { on_completed(id, ms); }));
     for (std::size_t i = 0; i < plan_.routers; ++i)
@@ -132,7 +132,7 @@
     publish_engines();
 }
 
-core::time_point direct_world::to_time_point(double ms) const
+core::time_point fleet_simulation::to_time_point(double ms) const
 {
     static constexpr double per_ms = 1000;
     static constexpr long start_us = 1'000'000'000;
@@ -140,7 +140,7 @@
         core::duration(start_us + static_cast<long>(ms * per_ms)));
 }
 
-void direct_world::publish_engines()
+void fleet_simulation::publish_engines()
 {
     std::map<std::string, direct::endpoint_record> records;
     for (std::size_t i = 0; i < plan_.engines; ++i)
@@ -150,7 +150,7 @@
         direct::endpoint_record record;
         record.boot = engine_name(i);
         record.service = engine_service;
-        record.slots = plan_.figures.slots;
+        record.slots = plan_.engine_params.slots;
         record.address = record.boot + ":1";
         records[record.boot] = record;
     }
@@ -158,12 +158,13 @@
         router->set_endpoints(to_time_point(now_ms_), records);
 }
 
-void direct_world::set_account_factor(const std::string& name, double factor)
+void fleet_simulation::set_account_factor(const std::string& name,
+                                          double factor)
 {
     account_factors_[name] = factor;
 }
 
-void direct_world::crash_engines(std::size_t first, std::size_t count)
+void fleet_simulation::crash_engines(std::size_t first, std::size_t count)
 {
     for (std::size_t i = first; i < first + count; ++i)
         is_listed_[i] = false;
@@ -182,14 +183,14 @@
     publish_engines();
 }
 
-void direct_world::slow_engines(std::size_t first, std::size_t count,
-                                double slowdown)
+void fleet_simulation::slow_engines(std::size_t first, std::size_t count,
+                                    double slowdown)
 {
     for (std::size_t i = first; i < first + count; ++i)
         engines_[i]->set_slowdown(slowdown);
 }
 
-void direct_world::forget_results()
+void fleet_simulation::reset_results()
 {
     type_counts_.clear();
     account_counts_.clear();
@@ -198,20 +199,20 @@
     std::fill(sent_to_engine_.begin(), sent_to_engine_.end(), 0U);
 }
 
-void direct_world::run(double seconds)
+void fleet_simulation::run(double seconds)
 {
     static constexpr double ms_per_second = 1000;
     const double end_ms = now_ms_ + seconds * ms_per_second;
     while (now_ms_ < end_ms)
     {
         now_ms_ += tick_ms;
-        for (std::size_t i = 0; i < plan_.kinds.size(); ++i)
+        for (std::size_t i = 0; i < plan_.request_types.size(); ++i)
         {
-            std::poisson_distribution<int> arrivals(plan_.kinds[i].per_second *
-                                                    traffic_factor_ * tick_ms /
-                                                    ms_per_second);
+            std::poisson_distribution<int> arrivals(
+                plan_.request_types[i].requests_per_second * traffic_factor_ *
+                tick_ms / ms_per_second);
             for (int n = arrivals(generator_); n > 0; --n)
-                generate_requests(plan_.kinds[i], i);
+                generate_requests(plan_.request_types[i], i);
         }
         submit_due_requests();
         for (auto& engine : engines_)
@@ -220,8 +221,8 @@
     }
 }
 
-void direct_world::generate_requests(const request_kind& type,
-                                     std::size_t route_index)
+void fleet_simulation::generate_requests(const request_type& type,
+                                         std::size_t route_index)
 {
     std::vector<double> weights;
     for (const account_load& account : plan_.accounts)
@@ -280,8 +281,8 @@
             0, routers_.size() - 1);
         request.router = router_index(generator_);
         direct::router& router = *routers_[request.router];
-        ++type_counts_[request.type].asked;
-        ++account_counts_[request.account].asked;
+        ++type_counts_[request.type].offered_requests;
+        ++account_counts_[request.account].offered_requests;
         router.admit(to_time_point(now_ms_), request.profile);
         auto decided = router.decide(to_time_point(now_ms_), request.profile,
                                      engine_service, {}, false);
@@ -289,7 +290,7 @@
         if (placed == nullptr)
         {
             ++type_counts_[request.type].refused;
-            type_counts_[request.type].refused_with_slots +=
+            type_counts_[request.type].refused_with_free_slots +=
                 has_free_slots() ? 1 : 0;
             ++account_counts_[request.account].refused;
             continue;
@@ -304,7 +305,7 @@
     }
 }
 
-std::size_t direct_world::engine_index(core::endpoint_id id) const
+std::size_t fleet_simulation::engine_index(core::endpoint_id id) const
 {
     for (std::size_t i = 0; i < plan_.engines; ++i)
     {
@@ -314,22 +315,24 @@
     return 0;
 }
 
-bool direct_world::has_free_slots() const
+bool fleet_simulation::has_free_slots() const
 {
     // An engine counts as free if at least one in four of its slots is.
     static constexpr unsigned free_divisor = 4;
     for (std::size_t i = 0; i < plan_.engines; ++i)
     {
         const std::size_t max_open_requests =
-            plan_.figures.slots - plan_.figures.slots / free_divisor;
+            plan_.engine_params.slots -
+            plan_.engine_params.slots / free_divisor;
         if (is_listed_[i] && engines_[i]->open_requests() <= max_open_requests)
             return true;
     }
     return false;
 }
 
-void direct_world::schedule_submission(const open_request& request,
-                                       std::uint64_t id, double output_tokens)
+void fleet_simulation::schedule_submission(const open_request& request,
+                                           std::uint64_t id,
+                                           double output_tokens)
 {
     pending_submission pending;
     pending.engine = request.engine;
@@ -353,7 +356,7 @@
     pending_submissions_.push_back(std::move(pending));
 }
 
-void direct_world::submit_due_requests()
+void fleet_simulation::submit_due_requests()
 {
     const auto due = std::stable_partition(
         pending_submissions_.begin(), pending_submissions_.end(),
@@ -369,7 +372,7 @@
     pending_submissions_.erase(due, pending_submissions_.end());
 }
 
-double direct_world::median_miss() const
+double fleet_simulation::median_prediction_error() const
 {
     std::vector<double> sorted = prediction_errors_;
     if (sorted.empty())
@@ -380,7 +383,7 @@
     return *middle;
 }
 
-void direct_world::on_first_token(std::uint64_t id, double at_ms)
+void fleet_simulation::on_first_token(std::uint64_t id, double at_ms)
 {
     const auto found = open_requests_.find(id);
     if (found == open_requests_.end())
@@ -392,14 +395,14 @@
     prediction_errors_.push_back(
         std::abs(request.placed.predicted_ms - observed_ms) / observed_ms);
     const bool on_time = at_ms - request.arrived_ms <= request.objective_ms;
-    unsigned kind_result::*const counter =
-        on_time ? &kind_result::on_time : &kind_result::late;
+    unsigned request_counts::*const counter =
+        on_time ? &request_counts::on_time : &request_counts::late;
     ++(type_counts_[request.type].*counter);
     ++(account_counts_[request.account].*counter);
     served_tokens_[request.account] += request.tokens;
 }
 
-void direct_world::on_completed(std::uint64_t id, double at_ms)
+void fleet_simulation::on_completed(std::uint64_t id, double at_ms)
 {
     const auto found = open_requests_.find(id);
     if (found == open_requests_.end())
@@ -410,7 +413,7 @@
     open_requests_.erase(found);
 }
 
-void direct_world::exchange_reports()
+void fleet_simulation::exchange_reports()
 {
     const bool is_periodic = now_ms_ >= next_report_ms_;
     if (is_periodic)
@@ -442,53 +445,56 @@
     pending_reports_.erase(due, pending_reports_.end());
 }
 
-const kind_result& direct_world::of_kind(const std::string& name) const
+const request_counts&
+fleet_simulation::counts_of_type(const std::string& name) const
 {
     return type_counts_.at(name);
 }
 
-kind_result direct_world::of_all_kinds() const
+request_counts fleet_simulation::total_counts() const
 {
-    kind_result sum;
+    request_counts sum;
     for (const auto& [name, result] : type_counts_)
     {
-        sum.asked += result.asked;
+        sum.offered_requests += result.offered_requests;
         sum.on_time += result.on_time;
         sum.late += result.late;
         sum.refused += result.refused;
-        sum.refused_with_slots += result.refused_with_slots;
+        sum.refused_with_free_slots += result.refused_with_free_slots;
     }
     return sum;
 }
 
-const kind_result& direct_world::of_account(const std::string& name) const
+const request_counts&
+fleet_simulation::counts_of_account(const std::string& name) const
 {
     return account_counts_.at(name);
 }
 
-double direct_world::served_tokens(const std::string& account) const
+double fleet_simulation::served_tokens(const std::string& account) const
 {
     const auto found = served_tokens_.find(account);
     return found == served_tokens_.end() ? 0 : found->second;
 }
 
-double direct_world::shared_read_again() const
+double fleet_simulation::repeated_prefill_tokens() const
 {
     double sum = 0;
     for (const auto& engine : engines_)
-        sum += engine->shared_read_again();
+        sum += engine->repeated_prefill_tokens();
     return sum;
 }
 
-double direct_world::tokens_read() const
+double fleet_simulation::prefilled_tokens() const
 {
     double sum = 0;
     for (const auto& engine : engines_)
-        sum += engine->tokens_read();
+        sum += engine->prefilled_tokens();
     return sum;
 }
 
-unsigned direct_world::sent_to(std::size_t first, std::size_t count) const
+unsigned fleet_simulation::requests_sent_to(std::size_t first,
+                                            std::size_t count) const
 {
     unsigned sum = 0;
     for (std::size_t i = first; i < first + count; ++i)
--- a/test/model/direct_world.hpp
+++ b/test/model/direct_world.hpp
@@ -19,10 +19,10 @@
 
 /// A type of request. Each type has its own route. The predefined values are
 /// those of current deployments.
-struct request_kind
+struct request_type
 {
     std::string name;
-    double per_second = 0;
+    double requests_per_second = 0;
     /// Length of the prompt prefix that requests have in common.
     double shared_tokens = 0;
     /// Mean of the exponential distribution of the rest of the prompt, to which
@@ -50,20 +50,20 @@
 };
 
 /// Configuration of a simulation.
-struct world_plan
+struct simulation_config
 {
     std::size_t routers = 8;
     std::size_t engines = 18;
     /// Configured throughput of all engines, as routers know it: prompt tokens
     /// count once, generated tokens twice. Zero: not configured.
     double tokens_per_second = 560000;
-    std::vector<request_kind> kinds;
+    std::vector<request_type> request_types;
     std::vector<account_load> accounts;
     std::uint64_t seed = 1;
     /// Time until a report reaches the other routers.
     double report_delay_ms = 5;
     double report_period_ms = 100;
-    engine_parameters figures;
+    engine_parameters engine_params;
     /// Size of a token in the KV cache, and bandwidth of an engine's link to
     /// the others. Engines cannot fetch prefixes from each other if either is
     /// zero.
@@ -73,41 +73,41 @@
 };
 
 /// The deployment "atlas" at its nominal load.
-world_plan atlas_plan();
+simulation_config atlas_config();
 
 /// A deployment that drafts letters: half as many engines, which are faster and
 /// can fetch prefixes from each other, and short requests beside prompts of up
 /// to 50,000 tokens.
-world_plan letters_plan();
+simulation_config letter_drafts_config();
 
 /// A large fleet of routers for two engines with eight slots each. Requests
 /// carry no description of their prompts and exceed the engines' capacity.
-world_plan undescribed_plan();
+simulation_config undescribed_prompts_config();
 
 /// The deployment "atlas" five times as large. The report delay is that of
 /// reports that aggregators relay.
-world_plan large_plan();
+simulation_config large_fleet_config();
 
 /// Counts of requests by outcome.
-struct kind_result
+struct request_counts
 {
     /// All requests that callers sent to a router.
-    unsigned asked = 0;
+    unsigned offered_requests = 0;
     /// First token within the objective, or after it.
     unsigned on_time = 0;
     unsigned late = 0;
     unsigned refused = 0;
     /// Refused requests during which an engine had at least a quarter of its
     /// slots free.
-    unsigned refused_with_slots = 0;
+    unsigned refused_with_free_slots = 0;
 };
 
 /// A simulated fleet that runs in its own time, and the results of its
 /// requests.
-class direct_world
+class fleet_simulation
 {
   public:
-    explicit direct_world(world_plan plan);
+    explicit fleet_simulation(simulation_config plan);
 
     /// Advances the simulation.
     void run(double seconds);
@@ -115,13 +115,13 @@
     // Load patterns and faults. They remain in effect until changed.
 
     /// Multiplies the request rate of all request types.
-    void set_traffic(double factor) { traffic_factor_ = factor; }
+    void set_traffic_factor(double factor) { traffic_factor_ = factor; }
     /// Multiplies the request rate of one client account. The rates of the
     /// others do not change.
     void set_account_factor(const std::string& name, double factor);
     /// Sets the share of requests of the first type that use one particular
     /// shared prefix. The others draw theirs at random.
-    void set_hot_subject(double share) { hot_prompt_share_ = share; }
+    void set_hot_prompt_share(double share) { hot_prompt_share_ = share; }
     /// Number of engines.
     [[nodiscard]] std::size_t engines() const { return plan_.engines; }
     /// Removes engines from the endpoint listing. Their open requests fail.
@@ -130,30 +130,33 @@
     void slow_engines(std::size_t first, std::size_t count, double slowdown);
     /// Partitions the network: reports between routers below this index and the
     /// others are lost. Reports in transit are lost too.
-    void cut_routers_at(std::size_t index) { partition_at_ = index; }
+    void partition_routers_at(std::size_t index) { partition_at_ = index; }
     void heal_partition() { partition_at_ = 0; }
     /// Resets all results except the token counts of engines and transfers,
     /// which count from the start of the simulation.
-    void forget_results();
+    void reset_results();
 
-    [[nodiscard]] const kind_result& of_kind(const std::string& name) const;
-    [[nodiscard]] kind_result of_all_kinds() const;
-    [[nodiscard]] const kind_result& of_account(const std::string& name) const;
+    [[nodiscard]] const request_counts&
+    counts_of_type(const std::string& name) const;
+    [[nodiscard]] request_counts total_counts() const;
+    [[nodiscard]] const request_counts&
+    counts_of_account(const std::string& name) const;
     /// Tokens of the account's requests that got a first token: prompt tokens
     /// count once, generated tokens twice.
     [[nodiscard]] double served_tokens(const std::string& account) const;
     /// Prompt tokens of shared prefixes that engines prefilled again after
     /// their KV cache had evicted them.
-    [[nodiscard]] double shared_read_again() const;
+    [[nodiscard]] double repeated_prefill_tokens() const;
     /// Prompt tokens that engines have prefilled.
-    [[nodiscard]] double tokens_read() const;
+    [[nodiscard]] double prefilled_tokens() const;
     /// Prompt tokens that engines fetched from other engines' KV caches.
     [[nodiscard]] double tokens_fetched() const { return tokens_fetched_; }
     /// Median relative error of the predicted time to first token:
     /// abs(predicted - observed) / observed.
-    [[nodiscard]] double median_miss() const;
+    [[nodiscard]] double median_prediction_error() const;
     /// Requests sent to a range of engines since results were last reset.
-    [[nodiscard]] unsigned sent_to(std::size_t first, std::size_t count) const;
+    [[nodiscard]] unsigned requests_sent_to(std::size_t first,
+                                            std::size_t count) const;
 
   private:
     /// A request that was placed and has not ended.
@@ -191,7 +194,7 @@
 
     /// Generates the requests of one arrival event: one on average, and more
     /// if factors of client accounts raise the traffic.
-    void generate_requests(const request_kind& type, std::size_t route_index);
+    void generate_requests(const request_type& type, std::size_t route_index);
     /// Whether a listed engine has at least a quarter of its slots free.
     [[nodiscard]] bool has_free_slots() const;
     void schedule_submission(const open_request& request, std::uint64_t id,
@@ -207,7 +210,7 @@
     void publish_engines();
     [[nodiscard]] core::time_point to_time_point(double ms) const;
 
-    world_plan plan_;
+    simulation_config plan_;
     std::mt19937_64 generator_;
     double now_ms_ = 0;
     double next_report_ms_ = 0;
@@ -226,8 +229,8 @@
     std::vector<double> prediction_errors_;
     std::map<std::uint64_t, open_request> open_requests_;
     std::map<std::string, double> account_factors_;
-    std::map<std::string, kind_result> type_counts_;
-    std::map<std::string, kind_result> account_counts_;
+    std::map<std::string, request_counts> type_counts_;
+    std::map<std::string, request_counts> account_counts_;
     std::map<std::string, double> served_tokens_;
     std::vector<unsigned> sent_to_engine_;
 };
--- a/test/model/engine_model.hpp
+++ b/test/model/engine_model.hpp
@@ -82,10 +82,10 @@
         return batch_.size() + waiting_.size();
     }
     /// Prompt tokens to prefill of all requests that have entered the batch.
-    [[nodiscard]] double tokens_read() const { return prefilled_tokens_; }
+    [[nodiscard]] double prefilled_tokens() const { return prefilled_tokens_; }
     /// Tokens of shared prompt parts that were cached before, have been evicted
     /// and had to be prefilled again.
-    [[nodiscard]] double shared_read_again() const
+    [[nodiscard]] double repeated_prefill_tokens() const
     {
         return repeated_prefill_tokens_;
     }
--- a/utils/measurement/experiment.cpp
+++ b/utils/measurement/experiment.cpp
@@ -11,59 +11,62 @@
 namespace
 {
 
-using model::direct_world;
+using model::fleet_simulation;
 
-using pattern = std::function<void(direct_world&)>;
+using pattern = std::function<void(fleet_simulation&)>;
 
 const std::map<std::string, pattern>& patterns()
 {
     static const std::map<std::string, pattern> all{
-        {"usual", [](direct_world&) {}},
-        {"burst", [](direct_world& world) { world.set_traffic(2); }},
+        {"usual", [](fleet_simulation&) {}},
+        {"burst", [](fleet_simulation& world) { world.set_traffic_factor(2); }},
         {"hot-subject",
-         [](direct_world& world) { world.set_hot_subject(0.3); }},
-        {"flood",
-         [](direct_world& world) { world.set_account_factor("account-0", 8); }},
+         [](fleet_simulation& world) { world.set_hot_prompt_share(0.3); }},
+        {"flood", [](fleet_simulation& world)
+         { world.set_account_factor("account-0", 8); }},
         {"two-floods",
-         [](direct_world& world)
+         [](fleet_simulation& world)
          {
              world.set_account_factor("account-2", 10);
              world.set_account_factor("account-5", 14);
          }},
-        {"half-gone", [](direct_world& world)
+        {"half-gone", [](fleet_simulation& world)
          { world.crash_engines(0, world.engines() / 2); }},
-        {"slow", [](direct_world& world)
+        {"slow", [](fleet_simulation& world)
          { world.slow_engines(0, world.engines() / 3, 5); }},
-        {"cut", [](direct_world& world) { world.cut_routers_at(4); }},
+        {"cut", [](fleet_simulation& world) { world.partition_routers_at(4); }},
     };
     return all;
 }
 
-void print(const direct_world& world, const model::world_plan& plan,
+void print(const fleet_simulation& world, const model::simulation_config& plan,
            double read_before, double again_before)
 {
     std::cout << "kind       asked on-time late refused\n";
-    for (const model::request_kind& kind : plan.kinds)
+    for (const model::request_type& kind : plan.request_types)
     {
-        const model::kind_result& got = world.of_kind(kind.name);
-        std::cout << kind.name << ' ' << got.asked << ' ' << got.on_time << ' '
-                  << got.late << ' ' << got.refused << '\n';
+        const model::request_counts& got = world.counts_of_type(kind.name);
+        std::cout << kind.name << ' ' << got.offered_requests << ' '
+                  << got.on_time << ' ' << got.late << ' ' << got.refused
+                  << '\n';
     }
-    const double read = world.tokens_read() - read_before;
+    const double read = world.prefilled_tokens() - read_before;
     std::cout << "tokens read " << static_cast<long>(read)
               << ", of them shared parts read again "
-              << static_cast<long>(world.shared_read_again() - again_before)
+              << static_cast<long>(world.repeated_prefill_tokens() -
+                                   again_before)
               << "; fetched so far "
               << static_cast<long>(world.tokens_fetched())
-              << "; median miss of predictions " << world.median_miss() << '\n';
+              << "; median miss of predictions "
+              << world.median_prediction_error() << '\n';
 }
 
-model::world_plan plan_of(const cxxopts::ParseResult& given)
+model::simulation_config plan_of(const cxxopts::ParseResult& given)
 {
-    model::world_plan plan = given.count("large") > 0 ? model::large_plan()
-                             : given.count("letters") > 0
-                                 ? model::letters_plan()
-                                 : model::atlas_plan();
+    model::simulation_config plan =
+        given.count("large") > 0     ? model::large_fleet_config()
+        : given.count("letters") > 0 ? model::letter_drafts_config()
+                                     : model::atlas_config();
     if (given.count("without") > 0)
     {
         const auto name = given["without"].as<std::string>();
@@ -123,15 +126,15 @@
         {
             if (wanted != "all" && wanted != name)
                 continue;
-            model::world_plan plan = plan_of(given);
-            for (model::request_kind& kind : plan.kinds)
-                kind.per_second *= given["traffic"].as<double>();
-            direct_world world(plan);
+            model::simulation_config plan = plan_of(given);
+            for (model::request_type& kind : plan.request_types)
+                kind.requests_per_second *= given["traffic"].as<double>();
+            fleet_simulation world(plan);
             world.run(6);
             start(world);
-            world.forget_results();
-            const double read = world.tokens_read();
-            const double again = world.shared_read_again();
+            world.reset_results();
+            const double read = world.prefilled_tokens();
+            const double again = world.repeated_prefill_tokens();
             world.run(given["seconds"].as<double>());
             std::cout << "== " << name << '\n';
             print(world, plan, read, again);
