--- a/packages/core/include/sycamorelock/core/endpoint_pool.hpp
+++ b/packages/core/include/sycamorelock/core/endpoint_pool.hpp
@@ -40,10 +40,11 @@
     endpoint_pool(endpoint_pool_options options, outbox& out);
 
     /// Replaces the configured endpoints. Each endpoint's slots are divided by
-    /// `divide_slots` and rounded up. A removed endpoint stays until its slots
-    /// are released.
+    /// `slot_share_divisor` and rounded up. A removed endpoint stays until its
+    /// slots are released.
     void configure(const std::vector<endpoint_spec>& specs,
-                   duration target_token_delay, std::uint32_t divide_slots);
+                   duration target_token_delay,
+                   std::uint32_t slot_share_divisor);
     /// Sets whether the platform's list marks an endpoint as leaving.
     void set_leaving(endpoint_id id, bool leaves);
 
--- a/packages/core/include/sycamorelock/core/shard_scheduler.hpp
+++ b/packages/core/include/sycamorelock/core/shard_scheduler.hpp
@@ -44,12 +44,12 @@
                     time_point now, outbox& out);
 
     /// Applies new settings. The slots of each endpoint are divided, rounding
-    /// up, by `divide_slots`, the number of instances that schedule
+    /// up, by `slot_share_divisor`, the number of instances that schedule
     /// independently.
     void configure(const service_spec& service, const shard_spec& shard,
                    const std::map<account_id, account_spec>& accounts,
                    const std::vector<endpoint_id>& leaving,
-                   std::uint32_t divide_slots);
+                   std::uint32_t slot_share_divisor);
     /// Sets the owners of the other shards of the service.
     void set_peers(time_point now, std::map<shard_id, instance_id> peers);
 
--- a/packages/core/lib/endpoint_pool.cpp
+++ b/packages/core/lib/endpoint_pool.cpp
@@ -20,9 +20,10 @@
 
 void endpoint_pool::configure(const std::vector<endpoint_spec>& specs,
                               duration target_token_delay,
-                              std::uint32_t divide_slots)
+                              std::uint32_t slot_share_divisor)
 {
-    assert(divide_slots > 0 && "slots are divided among at least one router");
+    assert(slot_share_divisor > 0 &&
+           "slots are divided among at least one router");
     target_token_delay_ = target_token_delay;
     for (auto& [id, endpoint] : endpoints_)
         endpoint.configured = false;
@@ -33,7 +34,8 @@
         const std::uint32_t old_slots = endpoint.slots;
         endpoint.spec = spec;
         endpoint.configured = true;
-        endpoint.slots = (spec.slots + divide_slots - 1) / divide_slots;
+        endpoint.slots =
+            (spec.slots + slot_share_divisor - 1) / slot_share_divisor;
         if (!known || old_slots != endpoint.slots)
             endpoint.limit = endpoint.slots;
     }
--- a/packages/core/lib/shard_scheduler.cpp
+++ b/packages/core/lib/shard_scheduler.cpp
@@ -34,11 +34,12 @@
 void shard_scheduler::configure(
     const service_spec& service, const shard_spec& shard,
     const std::map<account_id, account_spec>& accounts,
-    const std::vector<endpoint_id>& leaving, std::uint32_t divide_slots)
+    const std::vector<endpoint_id>& leaving, std::uint32_t slot_share_divisor)
 {
     max_queue_ = service.max_queue;
     max_queue_per_account_ = service.max_queue_per_account;
-    pool_.configure(shard.endpoints, service.target_token_delay, divide_slots);
+    pool_.configure(shard.endpoints, service.target_token_delay,
+                    slot_share_divisor);
     for (const endpoint_spec& endpoint : shard.endpoints)
     {
         const bool is_leaving = std::find(leaving.begin(), leaving.end(),
--- a/packages/core/unittests/fake_fleet.cpp
+++ b/packages/core/unittests/fake_fleet.cpp
@@ -132,7 +132,7 @@
     target.paused = false;
     target.incarnation = (random_() | 1U);
     target.sequence = 0;
-    target.seen.clear();
+    target.last_batch_received.clear();
     target.results.clear();
     target.out = {this, index};
     target.next_tick = now_;
@@ -205,7 +205,7 @@
             packets_.push_back(std::move(each));
             continue;
         }
-        auto& last_seen = receiver.seen[each.from];
+        auto& last_seen = receiver.last_batch_received[each.from];
         const bool replayed = last_seen.first == each.incarnation &&
                               each.sequence <= last_seen.second;
         if (replayed)
--- a/packages/core/unittests/fake_fleet.hpp
+++ b/packages/core/unittests/fake_fleet.hpp
@@ -16,7 +16,7 @@
 
 /// Fault probabilities in percent: the first three apply to each batch of
 /// messages, the others to each attempt.
-struct chances
+struct fault_probabilities
 {
     unsigned drop = 0;
     unsigned duplicate = 0;
@@ -92,7 +92,10 @@
     /// it after a random delay of its own of at most `max_lag`.
     void publish_members(const std::set<std::size_t>& without,
                          duration max_lag);
-    void set_fault_chances(chances percent) { fault_chances_ = percent; }
+    void set_fault_chances(fault_probabilities percent)
+    {
+        fault_chances_ = percent;
+    }
     /// Makes a node fail to send attempts to an endpoint, as if its older
     /// configuration did not include it.
     void hide_endpoint(std::size_t index, std::size_t domain,
@@ -159,7 +162,7 @@
 
     fleet_options plan_;
     boost::random::mt19937 random_;
-    chances fault_chances_;
+    fault_probabilities fault_chances_;
     time_point now_{std::chrono::seconds(1000)};
     std::vector<std::unique_ptr<fake_node>> nodes_;
     std::deque<packet> packets_;
--- a/packages/core/unittests/fake_node.hpp
+++ b/packages/core/unittests/fake_node.hpp
@@ -33,7 +33,8 @@
     time_point next_tick;
     std::uint64_t sequence = 0;
     /// Incarnation and sequence number of the latest batch from each sender.
-    std::map<std::size_t, std::pair<std::uint32_t, std::uint64_t>> seen;
+    std::map<std::size_t, std::pair<std::uint32_t, std::uint64_t>>
+        last_batch_received;
     sink out;
     std::unique_ptr<node<sink>> core;
     std::vector<attempt_result> results;
--- a/packages/core/unittests/random_test.cpp
+++ b/packages/core/unittests/random_test.cpp
@@ -129,7 +129,7 @@
 }
 
 void run_script(const std::vector<script_step>& script, std::uint64_t seed,
-                chances fault_chances)
+                fault_probabilities fault_chances)
 {
     fake_fleet::fleet_options fleet_options;
     fleet_options.seed = seed;
@@ -185,7 +185,8 @@
 namespace
 {
 
-void check_random_scripts(const char* property, const chances& fault_chances)
+void check_random_scripts(const char* property,
+                          const fault_probabilities& fault_chances)
 {
     const bool passed = rc::check(property,
                                   [&](const std::vector<script_step>& script)
