--- a/packages/adapters/include/sycamorelock/adapters/direct/control_plane.hpp
+++ b/packages/adapters/include/sycamorelock/adapters/direct/control_plane.hpp
@@ -4,14 +4,14 @@
 
 #include "sycamorelock/adapters/direct/store_watch.hpp"
 #include "sycamorelock/adapters/direct/traffic_plane.hpp"
+#include "sycamorelock/core/direct/aggregator_coverage.hpp"
 #include "sycamorelock/core/direct/cache_copies.hpp"
+#include "sycamorelock/core/direct/copy_limiter.hpp"
 #include "sycamorelock/core/direct/drained_domains.hpp"
 #include "sycamorelock/core/direct/endpoint_registry.hpp"
 #include "sycamorelock/core/direct/exchange_tree.hpp"
-#include "sycamorelock/core/direct/help_pace.hpp"
 #include "sycamorelock/core/direct/note_relay.hpp"
 #include "sycamorelock/core/direct/peers.hpp"
-#include "sycamorelock/core/direct/store_cover.hpp"
 #include "sycamorelock/core/direct/store_knowledge.hpp"
 #include "sycamorelock/core/direct/store_uptime.hpp"
 
--- a/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
@@ -3,8 +3,8 @@
 // current the endpoints known here are.
 #pragma once
 
+#include "sycamorelock/core/direct/copy_limiter.hpp"
 #include "sycamorelock/core/direct/exchange.hpp"
-#include "sycamorelock/core/direct/help_pace.hpp"
 
 #include <deque>
 #include <string>
--- a/packages/core/lib/direct/store_cover.cpp
+++ b/packages/core/lib/direct/aggregator_coverage.cpp
@@ -1,5 +1,5 @@
 // Only the last report of the aggregator counts, and only for a short time.
-#include "sycamorelock/core/direct/store_cover.hpp"
+#include "sycamorelock/core/direct/aggregator_coverage.hpp"
 
 namespace sycamorelock::core::direct
 {
--- a/packages/core/unittests/direct_load_test.cpp
+++ b/packages/core/unittests/direct_load_test.cpp
@@ -2,7 +2,7 @@
 // named after its pattern. Its bounds lie between the results with all
 // mechanisms and, for the same seed, without the mechanism that the comment
 // names.
-#include "direct_world.hpp"
+#include "fleet_simulation.hpp"
 
 #include <criterion/criterion.h>
 
--- a/packages/core/unittests/direct_store_test.cpp
+++ b/packages/core/unittests/direct_store_test.cpp
@@ -1,8 +1,8 @@
 // Tests of what an instance knows from the platform's state store: endpoints
 // that register, drain and leave, unreadable entries, and how current the
 // knowledge of different instances is.
+#include "sycamorelock/core/direct/aggregator_coverage.hpp"
 #include "sycamorelock/core/direct/endpoint_registry.hpp"
-#include "sycamorelock/core/direct/store_cover.hpp"
 #include "sycamorelock/core/direct/store_knowledge.hpp"
 #include "sycamorelock/core/direct/store_uptime.hpp"
 #include "sycamorelock/core/direct/unreadable_entries.hpp"
--- a/test/model/direct_world.cpp
+++ b/test/model/fleet_simulation.cpp
@@ -1,5 +1,5 @@
 // The simulation advances arrivals, engines and reports in fixed time steps.
-#include "direct_world.hpp"
+#include "fleet_simulation.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/utils/measurement/experiment.cpp
+++ b/utils/measurement/experiment.cpp
@@ -1,6 +1,6 @@
 // Plays a load pattern against routers that decide by themselves, before model
 // engines, and prints what became of the requests.
-#include "direct_world.hpp"
+#include "fleet_simulation.hpp"
 
 #include <cxxopts.hpp>
 
