--- a/packages/core/include/sycamorelock/core/endpoint_pool.hpp
+++ b/packages/core/include/sycamorelock/core/endpoint_pool.hpp
@@ -40,8 +40,8 @@
     endpoint_pool(endpoint_pool_options options, outbox& out);
 
     /// Replaces the configured endpoints. Each endpoint's slots are divided by
-    /// `divide_slots` and rounded up. A removed endpoint stays until its slots
-    /// are released.
+    /// `divide_slots` and rounded up. A removed endpoint is
+    /// erased by the first call that finds none of its slots in use.
     void configure(const std::vector<endpoint_spec>& specs,
                    duration target_token_delay, std::uint32_t divide_slots);
     /// Sets whether the platform's list marks an endpoint as leaving.
--- a/packages/core/lib/endpoint_pool.cpp
+++ b/packages/core/lib/endpoint_pool.cpp
@@ -37,8 +37,8 @@
         if (!known || old_slots != endpoint.slots)
             endpoint.limit = endpoint.slots;
     }
-    // An endpoint removed from the configuration stays until its slots are
-    // released.
+    // An endpoint removed from the configuration is kept while its slots are in
+    // use.
     std::erase_if(endpoints_,
                   [](const auto& entry) {
                       return !entry.second.configured && entry.second.used == 0;
