--- a/packages/core/include/sycamorelock/core/direct/account_shares.hpp
+++ b/packages/core/include/sycamorelock/core/direct/account_shares.hpp
@@ -10,8 +10,8 @@
 namespace sycamorelock::core::direct
 {
 
-/// Recent demand of an account through one instance, and the part of it that
-/// was served.
+/// Recent demand of an account through one instance, or through several if
+/// added up, and the part of it that was served.
 struct account_demand
 {
     account_id account;
@@ -36,7 +36,8 @@
 };
 
 /// The served tokens of an account relative to its max-min fair share: 1 is
-/// exactly the share; 0 means that every demand can be met.
+/// exactly the share, more is above it; 0 means that every demand can be met or
+/// that no throughput is configured.
 struct account_standing
 {
     /// Relative to the share of the throughput that operators configure.
@@ -95,12 +96,15 @@
         std::map<account_id, account_demand> demands;
     };
 
+    /// Recomputes the sums over the fleet and the shares.
     void refresh(time_point now, double throughput);
 
     std::map<account_id, meters> own_;
     std::map<instance_id, instance_report> reports_;
     /// Sums over the fleet, recomputed at most every 100 ms.
     std::map<account_id, account_demand> fleet_;
+    /// Shares of the configured and of the present throughput, in tokens per
+    /// second.
     double owed_share_ = 0;
     double fair_share_ = 0;
     time_point refreshed_at_;
--- a/packages/core/include/sycamorelock/core/direct/prompt_homes.hpp
+++ b/packages/core/include/sycamorelock/core/direct/prompt_homes.hpp
@@ -19,7 +19,8 @@
 /// or the only part; 0 if there are no parts.
 std::uint64_t shared_key(std::span<const prompt_part> parts);
 
-/// Number of tokens of all parts but the last.
+/// Number of tokens of all parts but the last; 0 if there is only one part,
+/// although `shared_key` returns the key of that.
 double shared_tokens(std::span<const prompt_part> parts);
 
 /// Rendezvous hash of an engine for a key, in [0, 1). The engines with the
@@ -42,8 +43,9 @@
     /// would be no alternative to its queue; more engines would store more
     /// copies of each prefix than the KV caches can hold.
     static constexpr std::size_t min_homes = 3;
-    /// Load per home engine, in engine seconds per second, that requests with
-    /// one prefix may cause before another engine is added.
+    /// Upper bound of the load per home engine, in engine seconds per second:
+    /// one engine is added to `min_homes` for each such amount of load that the
+    /// requests with a prefix cause in total.
     static constexpr double max_load_per_home = 0.25;
 
     /// Records a request of this or another instance with a shared prefix.
--- a/packages/core/include/sycamorelock/core/direct/slow_start.hpp
+++ b/packages/core/include/sycamorelock/core/direct/slow_start.hpp
@@ -44,8 +44,9 @@
     void set_members(time_point now, const std::vector<fleet_member>& members);
 
     /// Returns the number of requests that this instance may send to an
-    /// endpoint in any second; zero until the first members have been known for
-    /// `settling_time`.
+    /// endpoint in any second: the smallest of its shares under the memberships
+    /// of the last `settling_time`; zero until the first members have been
+    /// known for that time.
     /// \param allowance requests that all instances together may send in any
     /// second.
     [[nodiscard]] unsigned own_share(time_point now, endpoint_id endpoint,
@@ -138,14 +139,19 @@
   private:
     struct state
     {
+        /// When the warm-up ends.
         time_point warm_at;
+        /// End of the `cold_pause`.
         time_point paused_until;
+        /// When requests were sent to the endpoint, oldest first.
         std::deque<time_point> sent;
         /// When the endpoint was removed from the list, if it is not listed.
         std::optional<time_point> unlisted_since;
     };
 
     [[nodiscard]] const state* find(endpoint_id endpoint) const;
+    /// Number of requests that were sent to the endpoint within the `window`
+    /// that ends now.
     [[nodiscard]] static unsigned sent_within(time_point now,
                                               const state& endpoint);
 
--- a/packages/core/include/sycamorelock/core/shard_directory.hpp
+++ b/packages/core/include/sycamorelock/core/shard_directory.hpp
@@ -12,7 +12,7 @@
 enum class scheduling_mode : std::uint8_t
 {
     /// Each shard has one scheduler with a fair queue. The schedulers of a
-    /// service exchange the service that they grant to each account.
+    /// service tell each other how much work they have granted to each account.
     full,
     /// Each instance schedules on its own, with an equal part of every
     /// endpoint's slots.
@@ -24,6 +24,8 @@
     no_exchange,
 };
 
+/// Finds the shard at which a request is queued, and the instance that
+/// schedules a shard.
 class shard_directory
 {
   public:
--- a/packages/core/include/sycamorelock/core/shard_scheduler.hpp
+++ b/packages/core/include/sycamorelock/core/shard_scheduler.hpp
@@ -1,6 +1,6 @@
 // Scheduler of one shard: grants slots in fair order, moves queued requests to
 // other shards of the service, and exchanges with them the service granted per
-// account.
+// account, that is the cost of the requests of the account.
 #pragma once
 
 #include "sycamorelock/core/endpoint_pool.hpp"
@@ -46,6 +46,7 @@
     /// Applies new settings. The slots of each endpoint are divided, rounding
     /// up, by `slot_share_divisor`, the number of instances that schedule
     /// independently.
+    /// \param leaving endpoints that get no further requests.
     void configure(const service_spec& service, const shard_spec& shard,
                    const std::map<account_id, account_spec>& accounts,
                    const std::vector<endpoint_id>& leaving,
@@ -152,6 +153,9 @@
     void update_rate(time_point now);
     [[nodiscard]] duration predicted_wait(account_id account) const;
     void expire_leases(time_point now);
+    /// Moves queued requests to peers that have demand, and for fairness to
+    /// peers whose next virtual time exceeds that of the account by more than
+    /// `move_margin`.
     void move_work(time_point now);
     void move_to(time_point now, const shard_id& shard, peer_view& peer,
                  const waiting_request& request);
@@ -202,8 +206,11 @@
     /// Latest clock received from each entry, echoed in grants.
     std::map<instance_id, std::chrono::milliseconds> entry_clocks_;
     std::map<shard_id, peer_view> peers_;
+    /// End of the `takeover_delay`.
     time_point granting_from_;
+    /// When the next periodic advert is due.
     time_point next_advert_;
+    /// End of the `advert_min_gap` after the last advert.
     time_point earliest_advert_;
     std::uint32_t advertised_demand_ = 0;
     bool advertised_backlog_ = false;
--- a/packages/core/lib/direct/catalogue.cpp
+++ b/packages/core/lib/direct/catalogue.cpp
@@ -15,9 +15,9 @@
         by_host_[routes[i].host].push_back(i);
         for (const route_target& target : routes[i].targets)
         {
-            const auto [found, fresh] =
+            const auto [found, inserted] =
                 tightest_.emplace(target.service, routes[i].objective);
-            if (!fresh)
+            if (!inserted)
                 found->second = std::min(found->second, routes[i].objective);
         }
     }
--- a/packages/core/lib/messages.cpp
+++ b/packages/core/lib/messages.cpp
@@ -8,6 +8,7 @@
 
 std::string_view message_type_name(std::size_t index)
 {
+    // In the order of the alternatives of `peer_message`.
     static constexpr std::array<std::string_view, message_type_count> names{
         "gossip",
         "enqueue",
--- a/packages/core/lib/service_snapshots.cpp
+++ b/packages/core/lib/service_snapshots.cpp
@@ -38,8 +38,8 @@
     for (auto it = peer_totals_.begin(); it != peer_totals_.end();)
     {
         const auto& [key, known] = *it;
-        const bool old = now - known.last_received > totals_lifetime;
-        if (!old || known.last_received >= latest[key.first] ||
+        const bool is_old = now - known.last_received > totals_lifetime;
+        if (!is_old || known.last_received >= latest[key.first] ||
             retired_.size() >= max_retired)
         {
             ++it;
@@ -92,7 +92,7 @@
             break;
         answer.items.push_back({account, at});
     }
-    const auto include =
+    const auto append_totals =
         [&](const totals_key& key, const account_totals& totals)
     {
         // An entry without items marks a scheduler that is part of the sum.
@@ -104,12 +104,12 @@
             each.items.push_back({account, total});
         answer.included.push_back(std::move(each));
     };
-    include({id_, epoch_}, totals_);
+    append_totals({id_, epoch_}, totals_);
     for (const auto& [key, known] : peer_totals_)
-        include(key, known.totals);
+        append_totals(key, known.totals);
     for (const totals_key& key : retired_)
         answer.included.push_back({key.first, key.second, {}});
-    include({id_, retired_epoch}, retired_sum_);
+    append_totals({id_, retired_epoch}, retired_sum_);
     out_.send(from, answer);
 }
 
@@ -121,15 +121,18 @@
     has_snapshot_ = true;
     if (joining_)
         merge_retired(message);
+    // The totals counted here may be newer than those that the sender's virtual
+    // times include, and replace them.
     const account_totals included = apply_included(now, message);
     for (const snapshot::item& item : message.items)
     {
         const auto found = included.find(item.account);
         const std::int64_t included_total =
             found == included.end() ? 0 : found->second;
-        const virtual_time base =
+        const virtual_time time_without_totals =
             item.at - to_virtual_time(item.account, included_total);
-        queue_.adopt(item.account, base + counted_virtual_time(item.account));
+        queue_.adopt(item.account,
+                     time_without_totals + counted_virtual_time(item.account));
     }
     if (!joining_)
         return;
@@ -164,10 +167,10 @@
         for (const snapshot::account_total& item : each.items)
             included[item.account] += item.total;
         const totals_key key{each.shard, each.epoch};
-        const bool own = key == totals_key{id_, epoch_};
-        const bool known_as_sum =
+        const bool is_own = key == totals_key{id_, epoch_};
+        const bool is_part_of_sum =
             each.epoch == retired_epoch || retired_.contains(key);
-        if (own || known_as_sum || each.items.empty())
+        if (is_own || is_part_of_sum || each.items.empty())
             continue;
         peer_totals& known = find_or_add_totals(now, key);
         for (const snapshot::account_total& item : each.items)
--- a/packages/core/lib/topology.cpp
+++ b/packages/core/lib/topology.cpp
@@ -20,13 +20,13 @@
     {
         std::sort(endpoints.begin(), endpoints.end(),
                   [](const auto& a, const auto& b) { return a.name < b.name; });
-        const std::size_t count =
+        const std::size_t shard_count =
             (endpoints.size() + max_shard_endpoints - 1) / max_shard_endpoints;
-        for (std::size_t index = 0; index < count; ++index)
+        for (std::size_t index = 0; index < shard_count; ++index)
         {
             shard_spec shard;
             shard.id = {service.id, domain, static_cast<std::uint32_t>(index)};
-            for (std::size_t i = index; i < endpoints.size(); i += count)
+            for (std::size_t i = index; i < endpoints.size(); i += shard_count)
                 shard.endpoints.push_back(endpoints[i]);
             shards.push_back(std::move(shard));
         }
--- a/packages/core/unittests/unseen_requests_test.cpp
+++ b/packages/core/unittests/unseen_requests_test.cpp
@@ -8,6 +8,9 @@
 
 using namespace sycamorelock::core::direct;
 
+// Each offer lists the cost in ms, the free slots, and the further wait in ms
+// per request beyond them.
+
 Test(unseen_requests, free_slots_of_the_cheapest_endpoint_are_used_first)
 {
     const std::array<endpoint_cost, 2> offers{{{0, 10, 5}, {40, 10, 5}}};
