--- a/packages/adapters/lib/direct/control_plane.cpp
+++ b/packages/adapters/lib/direct/control_plane.cpp
@@ -114,7 +114,7 @@
         links_->redial(stale);
     }
     links_->close_idle(at);
-    const std::size_t live = peers_.live(at);
+    const std::size_t live = peers_.reachable_count(at);
     if (live != live_)
     {
         log_.write(direct_event::peers_changed,
@@ -130,7 +130,7 @@
     report.config_version = version_;
     report.store = own_store_view(at);
     report.wants_caches = copies_.should_request(at);
-    knowledge_.know(at, store_.revision(), digest_);
+    knowledge_.set_known_state(at, store_.revision(), digest_);
     peers_.fill_report(at, report);
     if (!peers_.large(at))
     {
@@ -156,7 +156,7 @@
 void control_plane::tell(core::time_point at, exchange_report& report,
                          const std::vector<std::string>& to)
 {
-    peers_.number(report);
+    peers_.assign_number(report);
     const std::string bytes = wire::encode_report(report, settings_.fleet_key);
     for (const std::string& address : to)
         links_->send(address, bytes, at);
@@ -306,10 +306,10 @@
     }
     if (report.config)
         on_config(report.config->text, report.sender);
-    if (!peers_.heard(now(), report))
+    if (!peers_.process_report(now(), report))
         return;
     if (peers_.is_newest(report))
-        note_uptime(uptime_.told(now(), report.store));
+        note_uptime(uptime_.merge_report(now(), report.store));
     use_store_view(report);
     if (!report.warming.empty())
         traffic_.on_warming(report.warming);
--- a/packages/adapters/lib/direct/control_plane_endpoints.cpp
+++ b/packages/adapters/lib/direct/control_plane_endpoints.cpp
@@ -216,7 +216,7 @@
     bool wanted = told.revision > store_.revision();
     if (report.part == core::direct::report_part::rest)
     {
-        cover_.heard(at, told);
+        cover_.process_report(at, told);
         // The aggregator may also have dropped an entry whose grace is over.
         wanted = wanted ||
                  (cover_.covered(at) && told.revision == store_.revision());
--- a/packages/adapters/lib/direct/traffic_plane.cpp
+++ b/packages/adapters/lib/direct/traffic_plane.cpp
@@ -162,7 +162,7 @@
     }
 
     /// Any thread.
-    [[nodiscard]] bool late() const { return delay_.late(now()); }
+    [[nodiscard]] bool late() const { return delay_.is_late(now()); }
 
     void on_cache_notes(const std::vector<core::direct::cache_note>& notes)
     {
@@ -217,7 +217,7 @@
     {
         context_.log.write(
             direct_event::traffic_late,
-            {{"late", delay_.late(at) ? "yes" : "no"},
+            {{"late", delay_.is_late(at) ? "yes" : "no"},
              {"delay_ms",
               std::to_string(
                   std::chrono::duration_cast<milliseconds>(delay_.mean())
--- a/packages/core/include/sycamorelock/core/direct/aggregator_coverage.hpp
+++ b/packages/core/include/sycamorelock/core/direct/aggregator_coverage.hpp
@@ -24,7 +24,7 @@
     static constexpr milliseconds max_answer_age{1100};
 
     /// Processes the store's part of a report of the own aggregator.
-    void heard(time_point now, const store_view& view);
+    void process_report(time_point now, const store_view& view);
 
     /// Whether the aggregator's last report is recent enough, and was based on
     /// a recent enough answer of the store.
--- a/packages/core/include/sycamorelock/core/direct/exchange.hpp
+++ b/packages/core/include/sycamorelock/core/direct/exchange.hpp
@@ -45,7 +45,7 @@
     std::string address;
     std::uint64_t incarnation = 0;
     /// Number of the instance's newest report that the sender knows of.
-    std::uint64_t heard = 0;
+    std::uint64_t report_number = 0;
     /// Failure domain, as a digest.
     domain_id domain;
 };
--- a/packages/core/include/sycamorelock/core/direct/peers.hpp
+++ b/packages/core/include/sycamorelock/core/direct/peers.hpp
@@ -52,7 +52,7 @@
     /// Processes a report that came directly from its sender. Returns false if
     /// it is outdated, from an earlier incarnation of the sender, or from this
     /// instance itself.
-    bool heard(time_point now, const exchange_report& report);
+    bool process_report(time_point now, const exchange_report& report);
 
     /// Whether no newer report of its sender is known. After a network
     /// partition, connections deliver the reports that queued up throughout it.
@@ -63,7 +63,7 @@
     void fill_report(time_point now, exchange_report& report);
     /// Assigns the next number to a report. A receiver ignores reports whose
     /// number is not higher than that of the last one.
-    void number(exchange_report& report) { report.number = ++number_; }
+    void assign_number(exchange_report& report) { report.number = ++number_; }
 
     /// Instances that may send requests to endpoints: all with a known report
     /// that have not been forgotten. Unreachable instances are included, since
@@ -74,7 +74,7 @@
     /// Whether the fleet is too large for a full mesh of reports.
     [[nodiscard]] bool large(time_point now) const
     {
-        return live(now) > mesh_limit;
+        return reachable_count(now) > mesh_limit;
     }
 
     /// Addresses to send reports to in a small fleet: the seeds and all known
@@ -96,7 +96,7 @@
     std::vector<std::string> stale_links(time_point now);
 
     /// Number of reachable instances, without this one.
-    [[nodiscard]] std::size_t live(time_point now) const;
+    [[nodiscard]] std::size_t reachable_count(time_point now) const;
 
     /// Instances that became unreachable since the last call.
     std::vector<instance_id> newly_unreachable(time_point now);
--- a/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_knowledge.hpp
@@ -31,7 +31,8 @@
     ///
     /// \param revision revision up to which this instance has read the store.
     /// \param digest digest of the known endpoints.
-    void know(time_point now, std::uint64_t revision, std::uint64_t digest);
+    void set_known_state(time_point now, std::uint64_t revision,
+                         std::uint64_t digest);
 
     /// Whether `peer`, which reported this view of the store, must be sent all
     /// endpoints. If so, the copy counts as sent for the rate limit.
--- a/packages/core/include/sycamorelock/core/direct/store_uptime.hpp
+++ b/packages/core/include/sycamorelock/core/direct/store_uptime.hpp
@@ -29,7 +29,7 @@
     /// Merges the uptime that another instance reported. Its times are relative
     /// to the time of sending, so the report must not have been delayed for
     /// long. Returns whether it shows the end of an outage.
-    bool told(time_point now, const store_view& view);
+    bool merge_report(time_point now, const store_view& view);
 
     /// Start of the current uptime.
     [[nodiscard]] time_point since() const { return since_; }
--- a/packages/core/include/sycamorelock/core/direct/tick_delay.hpp
+++ b/packages/core/include/sycamorelock/core/direct/tick_delay.hpp
@@ -30,7 +30,7 @@
 
     /// Whether the mean delay is too long or the thread hangs; false before the
     /// first tick. May be called by any thread.
-    [[nodiscard]] bool late(time_point now) const;
+    [[nodiscard]] bool is_late(time_point now) const;
 
     /// Moving average of the delay. To be called by the thread of the event
     /// loop.
--- a/packages/core/include/sycamorelock/core/fair_queue.hpp
+++ b/packages/core/include/sycamorelock/core/fair_queue.hpp
@@ -118,7 +118,7 @@
     void adopt(account_id account, virtual_time at);
 
     /// Virtual time of an account; the system time if it is unknown.
-    [[nodiscard]] virtual_time at(account_id account) const;
+    [[nodiscard]] virtual_time virtual_time_of(account_id account) const;
     /// Virtual time of the account that is served next; the system time if the
     /// queue is empty.
     [[nodiscard]] virtual_time next_virtual_time() const;
--- a/packages/core/lib/direct/aggregator_coverage.cpp
+++ b/packages/core/lib/direct/aggregator_coverage.cpp
@@ -4,7 +4,7 @@
 namespace sycamorelock::core::direct
 {
 
-void aggregator_coverage::heard(time_point now, const store_view& view)
+void aggregator_coverage::process_report(time_point now, const store_view& view)
 {
     last_report_at_ = now;
     if (view.revision > 0)
--- a/packages/core/lib/direct/endpoint_health.cpp
+++ b/packages/core/lib/direct/endpoint_health.cpp
@@ -39,8 +39,8 @@
 
 } // namespace
 
-void endpoint_health::first_token(time_point now, double actual_ms,
-                                  double predicted_ms)
+void endpoint_health::record_first_token(time_point now, double actual_ms,
+                                         double predicted_ms)
 {
     const double ratio = std::clamp((actual_ms + latency_allowance_ms) /
                                         (predicted_ms + latency_allowance_ms),
--- a/packages/core/lib/direct/peers.cpp
+++ b/packages/core/lib/direct/peers.cpp
@@ -23,7 +23,7 @@
     seeds_.erase(self_);
 }
 
-bool peers::heard(time_point now, const exchange_report& report)
+bool peers::process_report(time_point now, const exchange_report& report)
 {
     if (report.sender == self_)
         return false;
@@ -64,9 +64,10 @@
 
 void peers::acknowledge(time_point now, peer& from, const peer_status& own)
 {
-    if (own.incarnation != incarnation_ || own.heard <= from.acknowledged)
+    if (own.incarnation != incarnation_ ||
+        own.report_number <= from.acknowledged)
         return;
-    from.acknowledged = own.heard;
+    from.acknowledged = own.report_number;
     from.acknowledged_at = now;
 }
 
@@ -79,10 +80,10 @@
     if (seen.incarnation < known.incarnation)
         return;
     const bool restarted = seen.incarnation > known.incarnation;
-    if (!restarted && seen.heard <= known.number)
+    if (!restarted && seen.report_number <= known.number)
         return;
     known.incarnation = seen.incarnation;
-    known.number = seen.heard;
+    known.number = seen.report_number;
     if (restarted)
     {
         known.direct_number = 0;
@@ -215,7 +216,7 @@
     return result;
 }
 
-std::size_t peers::live(time_point now) const
+std::size_t peers::reachable_count(time_point now) const
 {
     std::size_t count = 0;
     for (const auto& [address, known] : peers_)
--- a/packages/core/lib/direct/router.cpp
+++ b/packages/core/lib/direct/router.cpp
@@ -357,8 +357,8 @@
     const double observed_first_token_ms = to_ms(now - sent);
     const auto found = endpoints_.find(placement.request_load.endpoint);
     if (found != endpoints_.end())
-        found->second.health.first_token(now, observed_first_token_ms,
-                                         placement.predicted_ms);
+        found->second.health.record_first_token(now, observed_first_token_ms,
+                                                placement.predicted_ms);
     const auto estimator = estimators_.find(placement.endpoint.service);
     const bool is_cold =
         found != endpoints_.end() && found->second.is_limited(now);
--- a/packages/core/lib/direct/store_knowledge.cpp
+++ b/packages/core/lib/direct/store_knowledge.cpp
@@ -5,8 +5,8 @@
 namespace sycamorelock::core::direct
 {
 
-void store_knowledge::know(time_point now, std::uint64_t revision,
-                           std::uint64_t digest)
+void store_knowledge::set_known_state(time_point now, std::uint64_t revision,
+                                      std::uint64_t digest)
 {
     digest_ = digest;
     if (revisions_.empty() || revisions_.back().revision < revision)
--- a/packages/core/lib/direct/store_uptime.cpp
+++ b/packages/core/lib/direct/store_uptime.cpp
@@ -6,7 +6,7 @@
 namespace sycamorelock::core::direct
 {
 
-bool store_uptime::told(time_point now, const store_view& view)
+bool store_uptime::merge_report(time_point now, const store_view& view)
 {
     const bool has_span = view.revision > 0 && view.uptime >= view.age;
     return has_span && add_span(now - view.uptime, now - view.age);
--- a/packages/core/lib/direct/tick_delay.cpp
+++ b/packages/core/lib/direct/tick_delay.cpp
@@ -19,7 +19,7 @@
     return late_.exchange(late) != late;
 }
 
-bool tick_delay::late(time_point now) const
+bool tick_delay::is_late(time_point now) const
 {
     const time_point ticked = ticked_at_;
     return late_ || (ticked != time_point() && now - ticked > hang_timeout);
--- a/packages/core/lib/fair_queue.cpp
+++ b/packages/core/lib/fair_queue.cpp
@@ -218,7 +218,7 @@
     reorder(account, state);
 }
 
-virtual_time fair_queue::at(account_id account) const
+virtual_time fair_queue::virtual_time_of(account_id account) const
 {
     const auto found = accounts_.find(account);
     return found == accounts_.end() ? system_time_ : found->second.start_tag;
--- a/packages/core/lib/service_exchange.cpp
+++ b/packages/core/lib/service_exchange.cpp
@@ -251,7 +251,8 @@
     item.total = totals_[account];
     item.waiting = queue_.size_of(account) > 0;
     if (lifted_.contains(account) || pending_repeats_.contains(account))
-        item.lifted_to = queue_.at(account) - counted_virtual_time(account);
+        item.lifted_to =
+            queue_.virtual_time_of(account) - counted_virtual_time(account);
     if (item.waiting)
         reported_waiting_.insert(account);
     else
--- a/packages/core/lib/shard_moves.cpp
+++ b/packages/core/lib/shard_moves.cpp
@@ -105,11 +105,11 @@
         options_.exchange.enabled &&
         (request.moved || request.requeued || moved_cost_.contains(account) ||
          exchange_.waits_at_peer(now, account));
-    const virtual_time before = queue_.at(account);
+    const virtual_time before = queue_.virtual_time_of(account);
     queue_.push(request, backlogged_elsewhere
                              ? fair_queue::prior_state::backlogged_elsewhere
                              : fair_queue::prior_state::idle);
-    const virtual_time after = queue_.at(account);
+    const virtual_time after = queue_.virtual_time_of(account);
     if (after > before)
         exchange_.mark_lifted(account);
 }
--- a/packages/core/unittests/direct_fleet_test.cpp
+++ b/packages/core/unittests/direct_fleet_test.cpp
@@ -54,7 +54,7 @@
                 continue;
             exchange_report report;
             instances[i]->fill_report(now, report);
-            instances[i]->number(report);
+            instances[i]->assign_number(report);
             const auto targets = instances[i]->large(now)
                                      ? instances[i]->gossip_targets(now)
                                      : instances[i]->known_addresses();
@@ -70,7 +70,7 @@
         for (std::size_t i = 0; i < instances.size(); ++i)
         {
             if (instance_address(i) == to && !stopped.contains(i))
-                instances[i]->heard(now, report);
+                instances[i]->process_report(now, report);
         }
     }
 };
@@ -95,8 +95,9 @@
         for (int i = 0; i < 40; ++i)
             group.exchange_round();
         for (const auto& each : group.instances)
-            cr_expect_eq(each->live(group.now), count - 1, "%zu of %zu",
-                         each->live(group.now), count - 1);
+            cr_expect_eq(each->reachable_count(group.now), count - 1,
+                         "%zu of %zu", each->reachable_count(group.now),
+                         count - 1);
     }
 }
 
@@ -106,8 +107,8 @@
     group.stopped = {0};
     for (int i = 0; i < 20; ++i)
         group.exchange_round();
-    cr_expect_eq(group.instances[1]->live(group.now), 2U);
-    cr_expect_eq(group.instances[3]->live(group.now), 2U);
+    cr_expect_eq(group.instances[1]->reachable_count(group.now), 2U);
+    cr_expect_eq(group.instances[3]->reachable_count(group.now), 2U);
 }
 
 Test(direct_peers, a_stopped_instance_and_its_restart_are_detected)
@@ -120,14 +121,14 @@
         group.stopped = {3};
         for (int i = 0; i < 40; ++i)
             group.exchange_round();
-        cr_expect_eq(group.instances[1]->live(group.now), count - 2);
+        cr_expect_eq(group.instances[1]->reachable_count(group.now), count - 2);
         group.stopped.clear();
         group.instances[3] = std::make_unique<peers>(
             instance_address(3), other_domain, 1000,
             std::vector<std::string>{instance_address(0)});
         for (int i = 0; i < 40; ++i)
             group.exchange_round();
-        cr_expect_eq(group.instances[1]->live(group.now), count - 1);
+        cr_expect_eq(group.instances[1]->reachable_count(group.now), count - 1);
     }
 }
 
@@ -197,7 +198,7 @@
     report.incarnation = 5;
     report.number = 3;
     report.leaving = true;
-    cr_assert(receiver.heard(start, report));
+    cr_assert(receiver.process_report(start, report));
     cr_assert(receiver.aggregator(start, other_domain).empty());
     exchange_report gossip;
     gossip.sender = instance_address(2);
@@ -205,7 +206,7 @@
     gossip.incarnation = 1;
     gossip.number = 1;
     gossip.peers = {{instance_address(1), 6, 1, other_domain}};
-    cr_assert(receiver.heard(start, gossip));
+    cr_assert(receiver.process_report(start, gossip));
     cr_expect_eq(receiver.aggregator(start, other_domain), instance_address(1));
 }
 
@@ -216,15 +217,15 @@
     report.sender = instance_address(1);
     report.incarnation = 5;
     report.number = 3;
-    cr_expect(receiver.heard(start, report));
-    cr_expect_not(receiver.heard(start, report));
+    cr_expect(receiver.process_report(start, report));
+    cr_expect_not(receiver.process_report(start, report));
     report.number = 2;
-    cr_expect_not(receiver.heard(start, report));
+    cr_expect_not(receiver.process_report(start, report));
     report.incarnation = 6;
-    cr_expect(receiver.heard(start, report));
+    cr_expect(receiver.process_report(start, report));
     report.incarnation = 5;
     report.number = 9;
-    cr_expect_not(receiver.heard(start, report));
+    cr_expect_not(receiver.process_report(start, report));
 }
 
 // When a network partition ends, connections deliver the reports that were sent
@@ -237,19 +238,19 @@
     other.sender = instance_address(1);
     other.incarnation = 1;
     other.number = 5;
-    cr_expect(receiver.heard(start, other));
+    cr_expect(receiver.process_report(start, other));
     cr_expect(receiver.is_newest(other));
     exchange_report gossip;
     gossip.sender = instance_address(2);
     gossip.incarnation = 1;
     gossip.number = 1;
     gossip.peers = {{instance_address(1), 1, 60, own_domain}};
-    cr_expect(receiver.heard(start, gossip));
+    cr_expect(receiver.process_report(start, gossip));
     other.number = 6;
-    cr_expect(receiver.heard(start, other));
+    cr_expect(receiver.process_report(start, other));
     cr_expect_not(receiver.is_newest(other));
     other.number = 61;
-    cr_expect(receiver.heard(start, other));
+    cr_expect(receiver.process_report(start, other));
     cr_expect(receiver.is_newest(other));
 }
 
@@ -265,10 +266,10 @@
         now += milliseconds(100);
         exchange_report own;
         receiver.fill_report(now, own);
-        receiver.number(own);
+        receiver.assign_number(own);
         report.number = i;
         report.peers = {{instance_address(0), 1, own.number, own_domain}};
-        receiver.heard(now, report);
+        receiver.process_report(now, report);
         cr_expect(receiver.stale_links(now).empty());
     }
     report.peers.clear();
@@ -277,7 +278,7 @@
     {
         now += milliseconds(100);
         report.number = i;
-        receiver.heard(now, report);
+        receiver.process_report(now, report);
         redialed_links += receiver.stale_links(now).size();
     }
     cr_expect_eq(redialed_links, 1U);
--- a/packages/core/unittests/direct_parts_test.cpp
+++ b/packages/core/unittests/direct_parts_test.cpp
@@ -191,7 +191,7 @@
 {
     endpoint_health health;
     for (int i = 0; i < 8; ++i)
-        health.first_token(start, 1000, 200);
+        health.record_first_token(start, 1000, 200);
     cr_expect_gt(health.slowdown(start), 2.0);
     cr_expect_lt(health.slowdown(start + seconds(60)), 1.05);
 }
@@ -329,7 +329,7 @@
 Test(direct_delay, a_late_or_blocked_event_loop_is_detected)
 {
     tick_delay delay(milliseconds(20));
-    cr_expect_not(delay.late(start));
+    cr_expect_not(delay.is_late(start));
     time_point now = start;
     const auto ticks = [&](int count, int apart_ms)
     {
@@ -345,9 +345,9 @@
     // A single late tick is a pause, not an overload.
     cr_expect_not(ticks(1, 900));
     cr_expect(ticks(20, 500));
-    cr_expect(delay.late(now));
+    cr_expect(delay.is_late(now));
     cr_expect(ticks(50, 20));
-    cr_expect_not(delay.late(now));
-    cr_expect_not(delay.late(now + milliseconds(1400)));
-    cr_expect(delay.late(now + milliseconds(1600)));
+    cr_expect_not(delay.is_late(now));
+    cr_expect_not(delay.is_late(now + milliseconds(1400)));
+    cr_expect(delay.is_late(now + milliseconds(1600)));
 }
--- a/packages/core/unittests/direct_store_test.cpp
+++ b/packages/core/unittests/direct_store_test.cpp
@@ -160,14 +160,14 @@
     store_view view;
     view.revision = 7;
     view.age = milliseconds(300);
-    cover.heard(start, view);
+    cover.process_report(start, view);
     cr_expect(cover.covered(start + milliseconds(600)));
     cr_expect_not(cover.covered(start + milliseconds(800)));
     view.age = milliseconds(1200);
-    cover.heard(start + milliseconds(900), view);
+    cover.process_report(start + milliseconds(900), view);
     cr_expect_not(cover.covered(start + milliseconds(900)));
     // An aggregator that has not read the store yet.
-    cover.heard(start + milliseconds(1000), {});
+    cover.process_report(start + milliseconds(1000), {});
     cr_expect_not(cover.covered(start + milliseconds(1000)));
 }
 
@@ -175,8 +175,8 @@
      only_instances_that_missed_an_earlier_change_are_sent_endpoints)
 {
     store_knowledge here;
-    here.know(start, 10, 1);
-    here.know(start + seconds(1), 20, 2);
+    here.set_known_state(start, 10, 1);
+    here.set_known_state(start + seconds(1), 20, 2);
     const auto reported = [](std::uint64_t revision, std::uint64_t digest)
     {
         store_view view;
@@ -187,11 +187,11 @@
     const auto later = [](int ms) { return start + milliseconds(1000 + ms); };
     // An instance gets time to read the change itself, but should have read
     // earlier ones already.
-    here.know(later(100), 20, 2);
+    here.set_known_state(later(100), 20, 2);
     cr_expect_not(here.needs_endpoints(later(100), "slow", reported(10, 1)));
     cr_expect(here.needs_endpoints(later(100), "rejected by the store",
                                    reported(9, 0)));
-    here.know(later(800), 20, 2);
+    here.set_known_state(later(800), 20, 2);
     cr_expect(here.needs_endpoints(later(800), "slow", reported(10, 1)));
     cr_expect_not(here.needs_endpoints(later(900), "slow", reported(10, 1)));
     cr_expect(here.needs_endpoints(later(1200), "slow", reported(10, 1)));
@@ -206,7 +206,7 @@
      an_equal_listing_of_another_instance_confirms_the_own_one)
 {
     store_knowledge here;
-    here.know(start, 10, 1);
+    here.set_known_state(start, 10, 1);
     store_view reported;
     reported.revision = 12;
     reported.digest = 2;
@@ -324,14 +324,14 @@
     store_uptime informed_during;
     informed_during.answered(start);
     for (int s = 1; s <= 8; ++s)
-        cr_expect_not(informed_during.told(
+        cr_expect_not(informed_during.merge_report(
             start + seconds(s), view_with(milliseconds(500), seconds(20))));
     cr_expect_not(informed_during.answered(start + seconds(9)));
 
     store_uptime informed_after;
     informed_after.answered(start);
     cr_expect(informed_after.answered(start + seconds(8)));
-    cr_expect_not(informed_after.told(
+    cr_expect_not(informed_after.merge_report(
         start + milliseconds(8100),
         view_with(milliseconds(100), milliseconds(60'000))));
     cr_expect(informed_after.since() <= start);
@@ -344,15 +344,18 @@
     here.answered(start);
     const time_point now = start + seconds(8);
     // An answer from before the outage doesn't show its end.
-    cr_expect_not(here.told(now, view_with(milliseconds(8000), seconds(20))));
-    cr_expect(here.told(now, view_with(milliseconds(50), milliseconds(300))));
+    cr_expect_not(
+        here.merge_report(now, view_with(milliseconds(8000), seconds(20))));
+    cr_expect(
+        here.merge_report(now, view_with(milliseconds(50), milliseconds(300))));
     cr_expect(here.since() == now - milliseconds(300));
     cr_expect_not(here.answered(now + milliseconds(400)));
     cr_expect(here.since() == now - milliseconds(300));
     // The sender has not read the store yet.
-    cr_expect_not(here.told(now + seconds(5), {}));
+    cr_expect_not(here.merge_report(now + seconds(5), {}));
     store_uptime fresh;
     cr_expect_eq(fresh.for_report(now).count(), 0);
-    cr_expect_not(fresh.told(now, view_with(milliseconds(50), seconds(5))));
+    cr_expect_not(
+        fresh.merge_report(now, view_with(milliseconds(50), seconds(5))));
     cr_expect(fresh.since() == now - seconds(5));
 }
--- a/packages/core/unittests/fairness_test.cpp
+++ b/packages/core/unittests/fairness_test.cpp
@@ -181,7 +181,8 @@
                                {
                                    const auto at = [&](std::size_t account) {
                                        return shard.queue()
-                                           .at(fake_fleet::account(account))
+                                           .virtual_time_of(
+                                               fake_fleet::account(account))
                                            .value();
                                    };
                                    differences.push_back(at(a) - at(b));
--- a/packages/core/unittests/service_exchange_test.cpp
+++ b/packages/core/unittests/service_exchange_test.cpp
@@ -37,7 +37,7 @@
 
     void lift(account_id account, double by)
     {
-        queue.adopt(account, queue.at(account) + virtual_time(by));
+        queue.adopt(account, queue.virtual_time_of(account) + virtual_time(by));
         exchange.mark_lifted(account);
     }
 
@@ -133,9 +133,10 @@
         for (const account_id account : {north, south})
         {
             for (std::size_t i = 1; i < size(); ++i)
-                largest = std::max(largest,
-                                   std::abs(at(i).queue.at(account).value() -
-                                            at(0).queue.at(account).value()));
+                largest = std::max(
+                    largest,
+                    std::abs(at(i).queue.virtual_time_of(account).value() -
+                             at(0).queue.virtual_time_of(account).value()));
         }
         return largest;
     }
@@ -245,8 +246,9 @@
     group.resync(1);
     group.settle(std::chrono::seconds(10));
     for (std::size_t i = 0; i < group.size(); ++i)
-        cr_assert_eq(group.at(i).queue.at(north).value(), 1000, "%zu: %f", i,
-                     group.at(i).queue.at(north).value());
+        cr_assert_eq(group.at(i).queue.virtual_time_of(north).value(), 1000,
+                     "%zu: %f", i,
+                     group.at(i).queue.virtual_time_of(north).value());
     // A joining scheduler receives the service first as part of a sum and then
     // as separate totals.
     group.restart(1, 203, false);
@@ -254,6 +256,7 @@
     group.at(1).lift(north, 50);
     group.settle(std::chrono::seconds(20));
     for (std::size_t i = 0; i < group.size(); ++i)
-        cr_assert_eq(group.at(i).queue.at(north).value(), 1050, "%zu: %f", i,
-                     group.at(i).queue.at(north).value());
+        cr_assert_eq(group.at(i).queue.virtual_time_of(north).value(), 1050,
+                     "%zu: %f", i,
+                     group.at(i).queue.virtual_time_of(north).value());
 }
--- a/packages/core/unittests/shard_scheduler_test.cpp
+++ b/packages/core/unittests/shard_scheduler_test.cpp
@@ -86,14 +86,16 @@
 {
     new_owner owner;
     owner.enqueue_one(owner.lagging, 1, true);
-    cr_assert_eq(owner.scheduler.queue().at(owner.lagging).value(), 1000);
+    cr_assert_eq(owner.scheduler.queue().virtual_time_of(owner.lagging).value(),
+                 1000);
 }
 
 Test(shard_scheduler, account_that_was_idle_starts_at_the_system_time)
 {
     new_owner owner;
     owner.enqueue_one(owner.lagging, 1, false);
-    cr_assert_eq(owner.scheduler.queue().at(owner.lagging).value(), 9000);
+    cr_assert_eq(owner.scheduler.queue().virtual_time_of(owner.lagging).value(),
+                 9000);
 }
 
 // Guards against cancelling the lag of an account because all its requests have
@@ -105,7 +107,8 @@
     owner.receive_advert(1, 0, virtual_time(9000));
     cr_assert_eq(owner.enqueues_sent_to(owner.peer), 1);
     owner.enqueue_one(owner.lagging, 2, false);
-    cr_expect_eq(owner.scheduler.queue().at(owner.lagging).value(), 1000);
+    cr_expect_eq(owner.scheduler.queue().virtual_time_of(owner.lagging).value(),
+                 1000);
 }
 
 // Guards against charging an account twice for service granted by peers: it was
@@ -118,10 +121,12 @@
     owner.now += std::chrono::seconds(1);
     owner.scheduler.tick(owner.now);
     cr_assert(owner.scheduler.queue().empty());
-    const double before = owner.scheduler.queue().at(owner.leading).value();
+    const double before =
+        owner.scheduler.queue().virtual_time_of(owner.leading).value();
     owner.receive_advert(0, 5, virtual_time(20000));
     owner.enqueue_one(owner.leading, 2, false);
-    cr_expect_eq(owner.scheduler.queue().at(owner.leading).value(), before);
+    cr_expect_eq(owner.scheduler.queue().virtual_time_of(owner.leading).value(),
+                 before);
 }
 
 // Guards against moved requests that stay unqueued until their entries resend
--- a/packages/wire/lib/exchange_codec.cpp
+++ b/packages/wire/lib/exchange_codec.cpp
@@ -269,7 +269,7 @@
         pb::PeerSight& item = *out.add_peers();
         item.set_address(peer.address);
         item.set_incarnation(peer.incarnation);
-        item.set_heard(peer.heard);
+        item.set_heard(peer.report_number);
         item.set_domain(peer.domain.value());
     }
     if (report.config)
--- a/packages/wire/unittests/exchange_codec_test.cpp
+++ b/packages/wire/unittests/exchange_codec_test.cpp
@@ -103,7 +103,7 @@
     cr_expect_eq(got.number, 9U);
     cr_expect(got.leaving);
     cr_expect(got.wants_caches);
-    cr_expect_eq(got.peers.at(0).heard, 7U);
+    cr_expect_eq(got.peers.at(0).report_number, 7U);
     cr_expect(got.peers.at(0).domain == sent.peers.at(0).domain);
     cr_expect_str_eq(got.config->text.c_str(), "text");
     cr_expect_float_eq(got.work.at(0).unread_ms, 12.5, 1e-6);
--- a/test/model/warming_fleet.hpp
+++ b/test/model/warming_fleet.hpp
@@ -223,7 +223,7 @@
         {
             self.next_members = now_ + members_period;
             self.sharing.set_members(now_, self.known.members(now_),
-                                     self.known.live(now_));
+                                     self.known.reachable_count(now_));
         }
         std::bernoulli_distribution has_request(request_probability);
         // An instance may have as many requests at once as the whole allowance.
@@ -241,7 +241,7 @@
         instance& self = *running_[index];
         direct::exchange_report report;
         self.known.fill_report(now_, report);
-        self.known.number(report);
+        self.known.assign_number(report);
         std::vector<std::string> targets = self.known.gossip_targets(now_);
         // An instance that knows no other one sends to the seeds.
         if (targets.empty())
@@ -254,7 +254,7 @@
                                  now_ >= running_[to]->awake_at &&
                                  (!reachable_ || reachable_(index, to));
             if (arrives)
-                running_[to]->known.heard(now_, report);
+                running_[to]->known.process_report(now_, report);
         }
     }
 
